--- a/adapter/event_reader.cpp
+++ b/adapter/event_reader.cpp
@@ -143,7 +143,7 @@
 Event read_list_event(const JsonValue& line, const EndpointPools& pools, const SettingNames& names) {
   const std::string path = input::kEndpointList;
   const std::string source = read_member(line, field::kListSource, path, as_string);
-  if (source == list_source::kLost) return event::EndpointListLost{};
+  if (source == list_source::kLost) return event::EndpointListSubscriptionLost{};
   const auto pool = pools.find(read_member(line, field::kPoolId, path, as_integer));
   if (pool == pools.end()) throw_field_error(path + "." + field::kPoolId, "no such POOL was given");
   std::vector<Endpoint> endpoints;
--- a/configuration/settings_reader.cpp
+++ b/configuration/settings_reader.cpp
@@ -80,11 +80,11 @@
 // Lists may be shorter than there are kinds.
 std::vector<KindSettings> read_kinds(const JsonValue& family, const std::string& path, std::size_t count) {
   std::vector<KindSettings> kinds(std::max<std::size_t>(1, count));
-  const JsonValue* independent_routes = find_list(family, "RoutesApart", path);
+  const JsonValue* independent_endpoints = find_list(family, "RoutesApart", path);
   const JsonValue* max_batch_sizes = find_list(family, "BundleMax", path);
   for (rapidjson::SizeType i = 0; i < kinds.size(); i++) {
-    if (independent_routes != nullptr && i < independent_routes->Size())
-      kinds[i].independent_routes = as_bool((*independent_routes)[i], path + ".RoutesApart");
+    if (independent_endpoints != nullptr && i < independent_endpoints->Size())
+      kinds[i].independent_endpoints = as_bool((*independent_endpoints)[i], path + ".RoutesApart");
     if (max_batch_sizes != nullptr && i < max_batch_sizes->Size())
       kinds[i].max_batch_size = as_int((*max_batch_sizes)[i], path + ".BundleMax");
   }
@@ -97,12 +97,12 @@
   const JsonValue& family = read_section(value, "FamilyInfo", parent_path);
   settings.kinds = read_kinds(family, path, names.kinds.size());
   settings.max_calls_in_flight = read_member(family, "Workers", path, as_int);
-  settings.decay = parse_enum<ValueDecay>(read_member(family, "Decay", path, as_string, "line"),
-                                          {{"line", ValueDecay::linear}, {"halves", ValueDecay::exponential}},
-                                          path + ".Decay");
+  settings.value_decay = parse_enum<ValueDecay>(
+      read_member(family, "Decay", path, as_string, "line"),
+      {{"line", ValueDecay::linear}, {"halves", ValueDecay::exponential}}, path + ".Decay");
   if (const JsonValue* costs = find_list(family, "Toll", path))
     for (const JsonValue& cost : costs->GetArray())
-      settings.zone_costs.push_back(as_double(cost, path + ".Toll"));
+      settings.zone_surcharges.push_back(as_double(cost, path + ".Toll"));
 }
 
 void read_limits(const JsonValue& value, const std::string& parent_path, Settings& settings) {
@@ -124,7 +124,7 @@
 void read_rules(const JsonValue& value, const std::string& parent_path, Settings& settings) {
   const std::string path = parent_path + ".Rules";
   const JsonValue& rules = read_section(value, "Rules", parent_path);
-  settings.answer_slack = read_member(rules, "AnswerSlack", path, as_integer, 0);
+  settings.final_answer_grace = read_member(rules, "AnswerSlack", path, as_integer, 0);
   settings.drain_grace = read_member(rules, "DrainGrace", path, as_integer, 0);
   settings.max_poll_interval = read_member(rules, "MustAskIn", path, as_integer, 0);
   settings.order_key_quiet_period = read_member(rules, "SettleAfterDoubt", path, as_integer, 0);
@@ -132,8 +132,8 @@
       read_member(rules, "FallMultiple", path, as_double, settings.overload_multiple);
   settings.overload_duration =
       read_member(rules, "OverloadFor", path, as_integer, settings.overload_duration);
-  settings.slow_start_capacity =
-      read_member(rules, "ColdFrom", path, as_double, settings.slow_start_capacity);
+  settings.slow_start_capacity_fraction =
+      read_member(rules, "ColdFrom", path, as_double, settings.slow_start_capacity_fraction);
   settings.slow_start_duration = read_member(rules, "Cold", path, as_integer, settings.slow_start_duration);
 }
 
@@ -146,12 +146,12 @@
   settings.zone = index_of(names.zones, read_member(value, "Locality", path, as_string, ""));
   settings.min_round_interval = read_member(value, "Tick", path, as_integer, settings.min_round_interval);
   settings.subscribes_to_list = read_member(value, "Discovery", path, as_string, "automatic") == "subscribe";
-  settings.weights = parse_enum<WeightKind>(read_member(value, "WeightKind", path, as_string, "none"),
-                                            {{"none", WeightKind::none},
-                                             {"nominal", WeightKind::nominal},
-                                             {"rough", WeightKind::rough},
-                                             {"live", WeightKind::none}},
-                                            path + ".WeightKind");
+  settings.weight_kind = parse_enum<WeightKind>(read_member(value, "WeightKind", path, as_string, "none"),
+                                                {{"none", WeightKind::none},
+                                                 {"nominal", WeightKind::nominal},
+                                                 {"rough", WeightKind::approximate},
+                                                 {"live", WeightKind::none}},
+                                                path + ".WeightKind");
 }
 
 }  // namespace
--- a/include/dispatch/actions.hpp
+++ b/include/dispatch/actions.hpp
@@ -1,4 +1,4 @@
-// What a dispatcher asks its relay to do.
+// The actions that a dispatcher asks its relay to carry out.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,25 @@
 namespace dispatch {
 namespace action {
 
-/// Send a message to an endpoint. Attempts of a message count from 0 in the order of their sends. Sends of
-/// one round to one endpoint share a call where the kind's max_batch_size allows.
+/// Send a message to an endpoint. The attempts of a message are numbered from 0 in the order of its Send
+/// actions. The relay combines the messages that one round sends to one endpoint into a call, as many as
+/// KindSettings::max_batch_size allows.
 struct Send {
   MessageId id = 0;
   EndpointId endpoint;
-  Time timeout = 0;       ///< without an answer in this time the attempt ends as Outcome::timeout
-  Time start_within = 0;  ///< the first byte goes out within this time, or none does; 0: no such bound
+  Time timeout = 0;       ///< without an answer within this time the attempt ends as Outcome::timeout
+  Time start_within = 0;  ///< nothing is sent unless the first byte leaves within this time; 0: no limit
 };
-/// Final answer to the client: not delivered; submitting the message again is harmless.
+/// Final answer to the client: the message was not delivered and may safely be submitted again.
 struct Reject {
   MessageId id = 0;
-  Time retry_after = 0;  ///< when to submit it again
+  Time retry_after = 0;  ///< how long the client should wait before it submits the message again
 };
-/// Final answer to the client: not known to be delivered; promises nothing.
+/// Final answer to the client: the message is not known to be delivered. It may have been executed.
 struct Fail {
   MessageId id = 0;
 };
-/// Stop waiting for an attempt; it ends as Outcome::cancelled.
+/// Stop waiting for the answer to an attempt, which then ends as Outcome::cancelled.
 struct Cancel {
   MessageId id = 0;
   int attempt = 0;
@@ -43,20 +44,20 @@
 };
 /// Fetch the whole endpoint list once.
 struct FetchEndpointList {};
-/// Begin or end the subscription to the endpoint list.
+/// Start or end the subscription to the endpoint list.
 struct Subscribe {
   bool enabled = true;
 };
-/// Send an endpoint a health check.
+/// Send a health check to an endpoint.
 struct HealthCheck {
   EndpointId endpoint;
 };
-/// Send other relays a text; it may be lost.
+/// Send a gossip message to other relays. Delivery is not guaranteed.
 struct SendGossip {
-  int recipient = -1;  ///< index of a relay; -1: every one
+  int recipient = -1;  ///< index of a relay; -1: all other relays
   std::string payload;
 };
-/// A line for the log: `event subject cause=...`.
+/// Write a line of the form `event subject cause=...` to the log.
 struct Log {
   std::string text;
 };
--- a/include/dispatch/dispatcher.hpp
+++ b/include/dispatch/dispatcher.hpp
@@ -1,11 +1,11 @@
-// dispatch: the decisions of a dispatcher of notifications to outside receivers.
+// The dispatcher: decides which message a relay sends to which endpoint, and when.
 //
-// A relay feeds one Dispatcher the events it sees and carries out the actions that come back, one
-// handle() a round. The dispatcher never blocks, does no input or output, reads no clock and keeps
-// no state outside the instance: equal settings, seed and events give equal actions.
+// A relay passes each event that it observes to one Dispatcher and carries out the actions that handle()
+// returns; one call of handle() is one round. The dispatcher never blocks, performs no input or output, reads
+// no clock and has no state outside the instance: equal settings, seed and events give equal actions.
 //
-// All times and durations are in microseconds. Names (zones, kinds, classes, tenants) do not appear:
-// events carry positions in the lists of the settings.
+// All times and durations are in microseconds. Zones, kinds, classes and tenants are referred to by their
+// indexes in the lists of the settings, not by their names.
 #pragma once
 
 #include <cstddef>
@@ -22,10 +22,10 @@
 
 namespace dispatch {
 
-/// Decides which message is sent where and when. Not safe for use by several threads at once.
+/// Decides which message is sent where and when. Not thread-safe.
 class Dispatcher {
  public:
-  /// Throws std::invalid_argument where the settings make no sense.
+  /// Throws std::invalid_argument, naming the setting, on settings that validate() does not accept.
   Dispatcher(const Settings& settings, std::uint64_t seed);
   ~Dispatcher();
   Dispatcher(const Dispatcher&) = delete;
@@ -33,18 +33,20 @@
   Dispatcher(Dispatcher&&) noexcept;
   Dispatcher& operator=(Dispatcher&&) noexcept;
 
-  /// One round: all events happen at `now` (which never goes back); the actions take effect at `now`,
-  /// in order. `actions` is appended to.
+  /// Runs one round: processes all events as of `now`, which must not decrease between rounds, and appends
+  /// the actions to `actions`. The actions take effect at `now`, in their order.
   void handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions);
 
-  /// What is known of endpoints and destinations, Retry-After included, as text for
+  /// Everything learned about endpoints and destinations, including Retry-After, as text for
   /// event::LearnedStateRestored.
   std::string learned_state() const;
 
-  /// How many listed endpoints get no ordinary traffic now: suspended by operators, or ejected.
-  std::size_t ejected_endpoint_count() const;
+  /// The number of listed endpoints that currently get no ordinary traffic, because operators suspended them
+  /// or because they are ejected.
+  std::size_t excluded_endpoint_count() const;
 
-  /// How many endpoints, destinations, messages, order keys and calls are kept: a gauge of memory.
+  /// The number of endpoints, destinations, suspensions, messages, order keys, quiet periods of order keys
+  /// and calls that the dispatcher stores. A gauge of its memory.
   std::size_t tracked_object_count() const;
 
  private:
--- a/include/dispatch/events.hpp
+++ b/include/dispatch/events.hpp
@@ -1,4 +1,4 @@
-// What a relay tells its dispatcher.
+// The events that a relay reports to its dispatcher.
 #pragma once
 
 #include <cstdint>
@@ -15,71 +15,73 @@
 /// How an attempt ended.
 enum class Outcome {
   succeeded,
-  error,           ///< the endpoint answered with an error; the message may have run
-  rejected,        ///< the endpoint refused the call for its load; the message did not run
-  timeout,         ///< no answer in the time that action::Send allowed; the message may have run
-  connect_failed,  ///< no connection; the message did not run
-  reset,           ///< the connection broke; the message may have run
-  cancelled,       ///< action::Cancel ended it; the message may have run
-  not_sent         ///< it never left this relay
+  error,           ///< the endpoint answered with an error; the message may have been executed
+  rejected,        ///< the endpoint refused the call because of its load; the message was not executed
+  timeout,         ///< no answer within action::Send::timeout; the message may have been executed
+  connect_failed,  ///< no connection was established; the message was not executed
+  reset,           ///< the connection broke; the message may have been executed
+  cancelled,       ///< ended by action::Cancel; the message may have been executed
+  not_sent         ///< the message never left this relay
 };
 
-/// What an answer says of the load of its destination; a negative value was not reported.
+/// What an answer reports about the load of its destination. A negative value was not reported.
 struct LoadReport {
-  double remaining_fraction = -1;  ///< the part of the rate limit that is left, 0 to 1
-  double rate_limit = -1;          ///< calls a second that the limit allows; 0 where there is none
+  double remaining_fraction = -1;  ///< the fraction of the rate limit that is left, 0 to 1
+  double rate_limit = -1;          ///< calls per second over all relays; 0: there is no limit
 };
 
 namespace event {
 
-/// The whole endpoint list: what it leaves out is removed.
+/// The whole endpoint list. Endpoints that it does not contain are removed.
 struct EndpointListSnapshot {
   std::vector<Endpoint> endpoints;
-  bool cached = false;  ///< not from discovery now, but as last seen
+  bool cached = false;  ///< the list of an earlier snapshot, not a current answer from discovery
 };
 /// Entries of the endpoint list that are new or changed.
 struct EndpointListUpdate {
   std::vector<Endpoint> endpoints;
 };
-/// Why the subscription to the endpoint list is lost.
-enum class ListLossReason {
-  failed,     ///< it ended or could not be had
-  timed_out,  ///< it fell silent
-  relocated   ///< discovery is found elsewhere from now on
+/// Why the subscription to the endpoint list was lost.
+enum class SubscriptionLossReason {
+  failed,     ///< the subscription ended or could not be established
+  timed_out,  ///< no data arrived within the timeout
+  relocated   ///< discovery has moved to another address
 };
-/// The subscription to the endpoint list is lost; what is known goes on to hold.
-struct EndpointListLost {
-  ListLossReason reason = ListLossReason::failed;
+/// The subscription to the endpoint list was lost. The endpoints that are known stay in use.
+struct EndpointListSubscriptionLost {
+  SubscriptionLossReason reason = SubscriptionLossReason::failed;
 };
-/// A message was taken on.
+/// The relay accepted a message.
 struct Arrival {
   MessageId id = 0;
   DestinationId destination = 0;
-  int message_class = 0;      ///< position in Settings::classes
-  int tenant = -1;            ///< position in Settings::tenants; -1: none
-  Time time_to_deadline = 0;  ///< from the round's time on
-  std::string order_key;      ///< empty: none
-  bool resubmitted = false;   ///< the client hands it in again after action::Reject
+  int message_class = 0;      ///< index into Settings::classes
+  int tenant = -1;            ///< index into Settings::tenants; -1: no tenant
+  Time time_to_deadline = 0;  ///< counted from the round's time
+  std::string order_key;      ///< empty: no order key
+  bool resubmitted = false;   ///< the client submits the message again after action::Reject
 };
-/// A call that an earlier incarnation of this relay began and that is still in flight.
+/// A call that an earlier process of this relay began and that is still in flight.
 struct CallInFlight {
   EndpointId endpoint;
-  std::uint64_t call_id = 0;  ///< the same for messages that share one call
+  std::uint64_t call_id = 0;  ///< equal for the messages that share one call
   int attempt = 0;            ///< number of the message's attempt
   Time sent_at = 0;
 };
-/// A message that an earlier incarnation of this relay took on, with what is known of its attempts.
+/// A message that an earlier process of this relay accepted, with what is known of its attempts.
 struct MessageRecovered {
-  Arrival message;        ///< time_to_deadline may be below 0
-  int attempts_made = 0;  ///< further attempts count on from there
-  /// Where the first attempt that may have run was sent (also one whose outcome was never seen), and when, on
-  /// the clock of Dispatcher::handle(): a time before this incarnation may be below 0.
+  Arrival message;        ///< time_to_deadline may be negative
+  int attempts_made = 0;  ///< the next attempt gets this number
+  /// The zone to which the first attempt that may have been executed was sent. This includes an attempt whose
+  /// outcome was never observed. Not set: no attempt can have been executed.
   std::optional<int> possible_execution_zone;
+  /// When that attempt was sent, on the clock of Dispatcher::handle(). May be negative, as the earlier
+  /// process may have sent it before the clock of this one started.
   Time possible_execution_sent_at = 0;
-  std::optional<CallInFlight> in_flight;  ///< its AttemptEnded is still to come
+  std::optional<CallInFlight> in_flight;  ///< its AttemptEnded event is still to come
 };
-/// Dispatcher::learned_state() of an earlier incarnation on the same clock. Comes after the endpoint list.
-/// Lines that can't be read are passed over.
+/// Restores what Dispatcher::learned_state() returned in an earlier process with the same clock. Must come
+/// after the endpoint list. Lines that cannot be parsed are ignored.
 struct LearnedStateRestored {
   std::string learned_state;
 };
@@ -89,12 +91,12 @@
   int attempt = 0;  ///< counts from 0 in the order of the message's action::Send
   EndpointId endpoint;
   Outcome outcome = Outcome::succeeded;
-  Time latency = 0;              ///< from the send to the end
-  bool message_settled = false;  ///< the message is over
-  Time retry_after = 0;          ///< no call to that destination for so long, whatever the outcome; 0: none
+  Time latency = 0;              ///< from the send to the end of the attempt
+  bool message_settled = false;  ///< the message needs no further attempt
+  Time retry_after = 0;          ///< no call to the destination for this time, whatever the outcome; 0: none
   LoadReport load_report;
 };
-/// The client withdrew its message; no final answer is expected.
+/// The client cancelled its message and expects no final answer.
 struct ClientCancelled {
   MessageId id = 0;
 };
@@ -109,13 +111,13 @@
   Time latency = 0;
   LoadReport load_report;
 };
-/// Another relay's action::SendGossip.
+/// A gossip message that another relay sent with action::SendGossip.
 struct GossipReceived {
-  int sender = 0;
+  int sender = 0;  ///< index of the relay
   std::string payload;
 };
-/// Operators take an endpoint out of service, whatever the list says of it, or let it serve again. Repeats
-/// are harmless.
+/// Operators suspended an endpoint, whatever its status in the endpoint list, or resumed it. Repeating the
+/// event has no effect.
 struct EndpointSuspension {
   EndpointId endpoint;
   bool suspended = true;
@@ -124,9 +126,10 @@
 }  // namespace event
 
 /// Any event.
-using Event = std::variant<event::EndpointListSnapshot, event::EndpointListUpdate, event::EndpointListLost,
-                           event::Arrival, event::MessageRecovered, event::AttemptEnded,
-                           event::ClientCancelled, event::TimerExpired, event::HealthCheckEnded,
-                           event::GossipReceived, event::EndpointSuspension, event::LearnedStateRestored>;
+using Event =
+    std::variant<event::EndpointListSnapshot, event::EndpointListUpdate, event::EndpointListSubscriptionLost,
+                 event::Arrival, event::MessageRecovered, event::AttemptEnded, event::ClientCancelled,
+                 event::TimerExpired, event::HealthCheckEnded, event::GossipReceived,
+                 event::EndpointSuspension, event::LearnedStateRestored>;
 
 }  // namespace dispatch
--- a/include/dispatch/types.hpp
+++ b/include/dispatch/types.hpp
@@ -1,4 +1,4 @@
-// Units and identifiers that settings, events and actions share.
+// Units and identifiers shared by settings, events and actions.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 /// A point in time or a duration, in microseconds, on the caller's monotonic clock.
 using Time = std::int64_t;
-/// Chosen by the caller; unique among the messages that are not over yet.
+/// Identifies a message. Assigned by the caller; unique among the messages that are not finished yet.
 using MessageId = std::uint64_t;
-/// The name of an endpoint in the endpoint list; opaque to the dispatcher.
+/// The name of an endpoint in the endpoint list. The dispatcher does not interpret it.
 using EndpointId = std::string;
-/// What a message is addressed to; one destination has one or several endpoints.
+/// Identifies the destination that a message is addressed to. A destination has one or more endpoints.
 using DestinationId = std::int64_t;
 
 }  // namespace dispatch
--- a/relay/discovery_client.cpp
+++ b/relay/discovery_client.cpp
@@ -16,7 +16,7 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 using boost::system::error_code;
-using dispatch::event::ListLossReason;
+using dispatch::event::SubscriptionLossReason;
 using tcp = net::ip::tcp;
 
 namespace {
@@ -80,7 +80,7 @@
   // The watch that is begun at the new address brings what these would have.
   cancel(poll_);
   cancel(watch_);
-  on_loss_(ListLossReason::relocated);
+  on_loss_(SubscriptionLossReason::relocated);
 }
 
 void DiscoveryClient::cancel(std::shared_ptr<Query>& query) {
@@ -124,7 +124,7 @@
   query->timer.async_wait([this, query](error_code error) {
     if (error || query->finished) return;
     if (query->response_begun)
-      fail(query, "no data within the timeout", ListLossReason::timed_out);
+      fail(query, "no data within the timeout", SubscriptionLossReason::timed_out);
     else
       fail(query, "no response within the timeout");
   });
@@ -197,7 +197,7 @@
 }
 
 void DiscoveryClient::fail(const std::shared_ptr<Query>& query, const std::string& cause,
-                           ListLossReason reason) {
+                           SubscriptionLossReason reason) {
   const char* subject = query->kind == QueryKind::watch ? "watch" : "query";
   log(std::string("discovery: ") + subject + " failed: " + cause);
   query->finished = true;
@@ -208,7 +208,7 @@
   if (poll_ == query) {
     poll_.reset();
     // A snapshot that is due after a move is as overdue as what a watch without data has missed.
-    reason = ListLossReason::timed_out;
+    reason = SubscriptionLossReason::timed_out;
   }
   if (needs_snapshot_) list_version_ = 0;  // the next watch queries everything again
   on_loss_(reason);
--- a/relay/discovery_client.hpp
+++ b/relay/discovery_client.hpp
@@ -25,7 +25,7 @@
 class DiscoveryClient {
  public:
   using ListHandler = std::function<void(EndpointList)>;
-  using LossHandler = std::function<void(dispatch::event::ListLossReason)>;
+  using LossHandler = std::function<void(dispatch::event::SubscriptionLossReason)>;
 
   // `names` must outlive the client. `list_version` is that of the list known so far; the first watch queries
   // the changes since then. `on_list` gets each list; `on_loss` is called when a watch or a query ends
@@ -44,7 +44,7 @@
   // Queries the complete list; does nothing while a query is open.
   void fetch();
   // Uses the service at another address from now on. Cancels what is open and reports it as
-  // ListLossReason::relocated.
+  // SubscriptionLossReason::relocated.
   void relocate(const boost::asio::ip::tcp::endpoint& address);
   // Version of the list that was received last; 0 after a move.
   std::int64_t list_version() const { return list_version_; }
@@ -62,7 +62,7 @@
   void restart_timeout(const std::shared_ptr<Query>& query);
   void complete_poll(const std::shared_ptr<Query>& query);
   void fail(const std::shared_ptr<Query>& query, const std::string& cause,
-            dispatch::event::ListLossReason reason = dispatch::event::ListLossReason::failed);
+            dispatch::event::SubscriptionLossReason reason = dispatch::event::SubscriptionLossReason::failed);
   static void cancel(std::shared_ptr<Query>& query);
 
   boost::asio::io_context& io_;
--- a/relay/endpoint_directory.cpp
+++ b/relay/endpoint_directory.cpp
@@ -16,7 +16,7 @@
 bool has_independent_routes(const dispatch::Endpoint& endpoint,
                             const std::vector<dispatch::KindSettings>& kinds) {
   const auto kind = static_cast<std::size_t>(endpoint.kind);
-  return kind < kinds.size() && kinds[kind].independent_routes;
+  return kind < kinds.size() && kinds[kind].independent_endpoints;
 }
 
 }  // namespace
--- a/relay/operator_commands.cpp
+++ b/relay/operator_commands.cpp
@@ -52,7 +52,7 @@
   Gauges gauges;
   gauges.outstanding = parts_.journal.messages().size();
   gauges.discovered = parts_.directory.endpoints().size();
-  gauges.ejected = parts_.dispatcher.ejected_endpoint_count();
+  gauges.ejected = parts_.dispatcher.excluded_endpoint_count();
   gauges.forwards = parts_.delivery.messages_written();
   return parts_.metrics.render(gauges) + "END\n";
 }
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -39,7 +39,7 @@
 // another can still tell of a draining endpoint within its grace period.
 PlatformTimeouts platform_timeouts(const dispatch::Settings& settings) {
   if (!settings.list_is_pushed)
-    return {to_duration(settings.poll_timeout), to_duration(settings.watch_timeout), kNoticeTimeout};
+    return {to_duration(settings.poll_timeout), to_duration(settings.subscription_timeout), kNoticeTimeout};
   const auto grace =
       settings.drain_grace > 0 ? std::min(to_duration(settings.drain_grace), kMaxDrainGrace) : kMaxDrainGrace;
   return {grace / 4, kWatchHeartbeatInterval + grace / 2, kNoticeTimeout};
@@ -72,7 +72,9 @@
           io, config.discovery, config.setting_names, platform_timeouts(config.settings),
           cached_list(config, ownership_).version,
           [this](const EndpointList& list) { on_endpoint_list(list); },
-          [this](event::ListLossReason reason) { events_.add(event::EndpointListLost{reason}); },
+          [this](event::SubscriptionLossReason reason) {
+            events_.add(event::EndpointListSubscriptionLost{reason});
+          },
           [this](const std::vector<MessageId>& ids) { on_notices_confirmed(ids); }),
       events_(io, config.settings.min_round_interval, [this] { round_.run(); }),
       timers_(io, events_),
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -146,7 +146,7 @@
 
 void DispatcherBench::make_unavailable(std::int64_t destinations) {
   set_list(make_endpoints(destinations, 1));
-  while (dispatcher_.ejected_endpoint_count() < static_cast<std::size_t>(destinations))
+  while (dispatcher_.excluded_endpoint_count() < static_cast<std::size_t>(destinations))
     call_each(destinations, Outcome::connect_failed);
 }
 
--- a/scale/simulation/simulated_relay.cpp
+++ b/scale/simulation/simulated_relay.cpp
@@ -53,7 +53,7 @@
       class_settings(settings.workload.idempotent, kIdempotentPriority, dispatch::Idempotency::idempotent),
       class_settings(settings.workload.non_idempotent, kNonIdempotentPriority, dispatch::Idempotency::none)};
   result.kinds = {{}};
-  result.weights = dispatch::WeightKind::rough;
+  result.weight_kind = dispatch::WeightKind::approximate;
   result.relay_count = settings.relay_count;
   result.relay_index = static_cast<int>(relay);
   result.zone = static_cast<int>(relay) % settings.network.zone_count;
@@ -65,10 +65,10 @@
   result.connect_timeout = kConnectTimeout;
   result.max_retry_after = kMaxRetryAfter;
   result.drain_grace = kDrainGrace;
-  result.answer_slack = kAnswerSlack;
+  result.final_answer_grace = kAnswerSlack;
   result.overload_multiple = settings.destination.overload_multiple;
   result.overload_duration = to_microseconds(settings.destination.overload_duration);
-  result.slow_start_capacity = settings.destination.slow_start_capacity;
+  result.slow_start_capacity_fraction = settings.destination.slow_start_capacity;
   result.slow_start_duration = to_microseconds(settings.destination.slow_start_duration);
   return result;
 }
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -278,7 +278,7 @@
 
 std::string Dispatcher::learned_state() const { return state_->learned_state(); }
 
-std::size_t Dispatcher::ejected_endpoint_count() const {
+std::size_t Dispatcher::excluded_endpoint_count() const {
   const auto& endpoints = state_->directory.endpoints();
   return static_cast<std::size_t>(std::count_if(endpoints.begin(), endpoints.end(), [](const auto& entry) {
     const EndpointState& endpoint = entry.second;
--- a/src/dispatcher_state.hpp
+++ b/src/dispatcher_state.hpp
@@ -50,7 +50,7 @@
   // Events.
   void on(const event::EndpointListSnapshot& snapshot);
   void on(const event::EndpointListUpdate& update);
-  void on(const event::EndpointListLost& loss);
+  void on(const event::EndpointListSubscriptionLost& loss);
   void on(const event::Arrival& arrival);
   void on(const event::MessageRecovered& recovered);
   void on(const event::AttemptEnded& attempt);
--- a/src/endpoint_directory.hpp
+++ b/src/endpoint_directory.hpp
@@ -52,7 +52,7 @@
     endpoint.own_scope.limiter.set_kind(kind);
     endpoint.destination = &destinations_[info.destination];
     endpoint.destination->scope.limiter.set_kind(kind);
-    endpoint.independent_route = kind_settings.independent_routes;
+    endpoint.independent_route = kind_settings.independent_endpoints;
     endpoint.max_batch_size = kind_settings.max_batch_size;
     if (is_new) endpoint.suspended = suspended_.contains(info.id);
     return {endpoint, is_new};
--- a/src/endpoint_health.cpp
+++ b/src/endpoint_health.cpp
@@ -99,9 +99,9 @@
 // hundreds that each see a call a minute, floors of one call each would overload it.
 double EndpointHealth::allowed_rate(const RoundContext& round) const {
   const Settings& settings = round.settings();
-  double capacity = settings.slow_start_capacity;
+  double capacity = settings.slow_start_capacity_fraction;
   if (is_in_slow_start())
-    capacity += (1 - settings.slow_start_capacity) * seconds(round.now() - record_.changed_at) /
+    capacity += (1 - settings.slow_start_capacity_fraction) * seconds(round.now() - record_.changed_at) /
                 seconds(state_duration(round));
   const double multiple = settings.overload_multiple * overload_budget(settings) * std::min(capacity, 1.0);
   // Not served since: perhaps it returned only now, so no more than was asked of it before, backlog or not.
--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -35,8 +35,8 @@
 // The expected wait there, with its fee and distance.
 double cost(const Settings& settings, const EndpointState& endpoint) {
   const auto zone = static_cast<std::size_t>(endpoint.info.zone);
-  const bool has_fee = endpoint.independent_route && zone < settings.zone_costs.size();
-  const double fee = has_fee ? settings.zone_costs[zone] : 0;
+  const bool has_fee = endpoint.independent_route && zone < settings.zone_surcharges.size();
+  const double fee = has_fee ? settings.zone_surcharges[zone] : 0;
   const double load =
       static_cast<double>(endpoint.calls.size()) + 1 + endpoint.health.record().consecutive_failures;
   const double warm_up = endpoint.health.is_in_slow_start() ? kSlowStartCost : 1;
--- a/src/list_polling.cpp
+++ b/src/list_polling.cpp
@@ -28,10 +28,10 @@
 // Lost by all relays at once, the list is polled by one after the other; the longer polls fail, the rarer.
 // What is known serves meanwhile. Where lists are pushed, what it misses binds at once, and after silence or
 // a move soon, so there it is polled at once, or within a part of that.
-void Dispatcher::State::on(const event::EndpointListLost& loss) {
+void Dispatcher::State::on(const event::EndpointListSubscriptionLost& loss) {
   const bool was_subscribed = std::exchange(subscribed, false);
-  const bool failed = loss.reason == event::ListLossReason::failed;
-  const bool relocated = loss.reason == event::ListLossReason::relocated;
+  const bool failed = loss.reason == event::SubscriptionLossReason::failed;
+  const bool relocated = loss.reason == event::SubscriptionLossReason::relocated;
   if (!relocated) wait_for_list_until = std::min(wait_for_list_until, round.now());
   if (settings.list_is_pushed) {
     const double gap = pushed_poll_gap();
@@ -40,7 +40,7 @@
     return;
   }
   // Until it is polled, a change may have waited as long as the poll or the watch that brought none.
-  Time waited = settings.watch_timeout;
+  Time waited = settings.subscription_timeout;
   if (failed) waited = was_subscribed ? 0 : settings.poll_timeout;
   const double spread = std::min(poll_spread(), kMaxListAge - seconds(waited));
   if (!failed) {
--- a/src/message_delivery.cpp
+++ b/src/message_delivery.cpp
@@ -34,7 +34,7 @@
   const ClassSettings& message_class = *message.message_class;
   const double late_fraction = message_class.late_weight_fraction;
   const double late_by = seconds(time - message.objective);
-  if (settings.decay == ValueDecay::exponential) {
+  if (settings.value_decay == ValueDecay::exponential) {
     const double left = std::exp2(-late_by / seconds(message_class.latency_objective));
     return message.weight * std::max(late_fraction, left);
   }
--- a/src/rate_limiter.cpp
+++ b/src/rate_limiter.cpp
@@ -38,7 +38,7 @@
 // Guards against a release: the relays that were killed together know nothing, and all that comes to them
 // again would go to the endpoints at once.
 void RateLimiter::start_from_weight(RoundContext& round, double weight) {
-  if (record_.notified_limit > 0 || round.settings().weights == WeightKind::none) return;
+  if (record_.notified_limit > 0 || round.settings().weight_kind == WeightKind::none) return;
   record_.notified_limit = weight;
   if (token_quota(round) == 0) return;
   record_.rate = kInitialQuota * token_quota(round);
@@ -190,7 +190,7 @@
   // start. In a small fleet the run of rejections that ejects comes soon enough; one of each of many is too
   // much.
   const double slow_start =
-      settings.overload_multiple * overload_budget(settings) * settings.slow_start_capacity;
+      settings.overload_multiple * overload_budget(settings) * settings.slow_start_capacity_fraction;
   if (record_.rejections >= 2 && is_large_fleet(settings) && token_quota(round) == 0)
     probability = std::min(probability, slow_start);
   if (record_.served.rate(round.now()) * kServedRateMemory >= kMinRecentServes) return true;
--- a/src/settings_validation.cpp
+++ b/src/settings_validation.cpp
@@ -28,13 +28,14 @@
   need(s.min_round_interval >= 0, "min_round_interval: must not be negative");
   need(s.connect_timeout >= 0, "connect_timeout: must not be negative");
   need(s.connection_idle_timeout >= 0, "connection_idle_timeout: must not be negative");
-  need(s.drain_grace >= 0 && s.max_poll_interval >= 0 && s.order_key_quiet_period >= 0 && s.answer_slack >= 0,
-       "drain_grace, max_poll_interval, order_key_quiet_period, answer_slack: must not be negative");
+  need(s.drain_grace >= 0 && s.max_poll_interval >= 0 && s.order_key_quiet_period >= 0 &&
+           s.final_answer_grace >= 0,
+       "drain_grace, max_poll_interval, order_key_quiet_period, final_answer_grace: must not be negative");
   need(s.overload_multiple > 0, "overload_multiple: must be above 0");
   need(s.overload_duration >= 0 && s.slow_start_duration >= 0,
        "overload_duration and slow_start_duration: must not be negative");
-  need(s.slow_start_capacity >= 0 && s.slow_start_capacity <= 1,
-       "slow_start_capacity: must lie between 0 and 1");
+  need(s.slow_start_capacity_fraction >= 0 && s.slow_start_capacity_fraction <= 1,
+       "slow_start_capacity_fraction: must lie between 0 and 1");
 }
 
 }  // namespace dispatch
--- a/tests/dispatcher_harness.hpp
+++ b/tests/dispatcher_harness.hpp
@@ -38,7 +38,7 @@
   s.max_open_messages = 200;
   s.max_attempts = 8;
   s.min_round_interval = 5 * kMs;
-  s.answer_slack = 20 * kMs;
+  s.final_answer_grace = 20 * kMs;
   s.overload_duration = 2 * kS;
   return s;
 }
@@ -140,7 +140,7 @@
     }
   }
   std::size_t kept() const { return dispatcher_.tracked_object_count(); }
-  std::size_t avoided() const { return dispatcher_.ejected_endpoint_count(); }
+  std::size_t avoided() const { return dispatcher_.excluded_endpoint_count(); }
   std::string learnt() const { return dispatcher_.learned_state(); }
   int sends_of(MessageId id) const {
     return static_cast<int>(
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -290,7 +290,7 @@
 // A relay with a call in minutes there sees no second failure before its retry at the sibling.
 TEST(Shut, OneFailedConnectClosesAllEndpointsOfAThinTarget) {
   auto s = plain();
-  s.relay_count = 300, s.weights = WeightKind::rough;
+  s.relay_count = 300, s.weight_kind = WeightKind::approximate;
   Relay r(s);
   r.list({{.id = "a", .destination = 1, .weight = 3}, {.id = "b", .destination = 1, .weight = 3}});
   r.run_to(r.now + 60 * kS);  // long enough to know that it calls seldom
@@ -379,7 +379,8 @@
 }
 TEST(Shut, TrialsOfManyRelaysDoNotAddUp) {
   auto s = plain();
-  s.relay_count = 200, s.overload_multiple = 2, s.slow_start_capacity = 0.2, s.slow_start_duration = 10 * kS;
+  s.relay_count = 200, s.overload_multiple = 2, s.slow_start_capacity_fraction = 0.2,
+  s.slow_start_duration = 10 * kS;
   std::size_t trials = 0, asked = 0;
   for (std::uint64_t seed = 1; seed <= 40; seed++) {  // each asks for a call in five seconds
     Relay r(s, seed);
@@ -449,7 +450,7 @@
   for (const int relays : {2, 200}) {
     std::size_t sends = 0;
     auto s = plain();
-    s.relay_count = relays, s.overload_multiple = 2, s.slow_start_capacity = 0.2;
+    s.relay_count = relays, s.overload_multiple = 2, s.slow_start_capacity_fraction = 0.2;
     for (std::uint64_t seed = 1; seed <= 40; seed++) {
       Relay r(s, seed);
       r.list({{.id = "a", .destination = 1}});
@@ -703,7 +704,7 @@
     ASSERT_EQ(r.asked.size(), 1U);
     first.push_back(r.asked[0]);
     r.list({{.id = "a", .destination = 1}});
-    r.round({event::EndpointListLost{}});
+    r.round({event::EndpointListSubscriptionLost{}});
     r.run_to(12 * kS);
     ASSERT_EQ(r.asked.size(), 2U);
     again.push_back(r.asked[1]);
@@ -723,7 +724,7 @@
   ASSERT_EQ(r.asked.size(), 1U);
   for (int i = 0; i < 6; i++) {
     const auto n = r.asked.size();
-    r.round({event::EndpointListLost{}});
+    r.round({event::EndpointListSubscriptionLost{}});
     r.run_to(r.now + 6 * kS);
     EXPECT_EQ(r.asked.size(), n + 1);
   }
@@ -738,7 +739,7 @@
   s.subscribes_to_list = true;
   Relay r(s);
   r.round({event::EndpointListSnapshot{{{.id = "a", .destination = 1}}, true}});
-  r.round({event::EndpointListLost{}});
+  r.round({event::EndpointListSubscriptionLost{}});
   const auto id = r.arrive(kSafe);
   EXPECT_EQ(r.sends_of(id), 1);
 }
@@ -965,11 +966,11 @@
     r.round({event::EndpointListSnapshot{{{.id = "a", .destination = 1}}, true}});
     EXPECT_EQ(r.asked.size(), 1U);
     r.list({{.id = "a", .destination = 1}});
-    for (const auto why : {event::ListLossReason::failed, event::ListLossReason::timed_out,
-                           event::ListLossReason::relocated}) {
+    for (const auto why : {event::SubscriptionLossReason::failed, event::SubscriptionLossReason::timed_out,
+                           event::SubscriptionLossReason::relocated}) {
       r.run_to(r.now + 10 * kS);
       const auto n = r.asked.size();
-      r.round({event::EndpointListLost{why}});
+      r.round({event::EndpointListSubscriptionLost{why}});
       EXPECT_EQ(r.asked.size(), n + 1);
       r.list({{.id = "a", .destination = 1}});
     }
@@ -985,14 +986,14 @@
   for (const Time until = r.now + 60 * kS; r.now < until;) {
     const auto n = r.asked.size();
     const Time failed = r.now;
-    r.round({event::EndpointListLost{}});
+    r.round({event::EndpointListSubscriptionLost{}});
     r.run_to(r.now + 500 * kMs);
     ASSERT_EQ(r.asked.size(), n + 1);
     EXPECT_LE(r.asked.back(), failed + 400 * kMs);
   }
   for (int i = 0; i < 100; i++) {
     r.list({{.id = "a", .destination = 1}});
-    r.round({event::EndpointListLost{}});
+    r.round({event::EndpointListSubscriptionLost{}});
     r.run_to(r.now + 5 * kMs);
   }
   EXPECT_LT(r.asked.size(), 200U);
@@ -1026,9 +1027,10 @@
     r.run_to(r.now + 6 * kS);
     ASSERT_EQ(r.asked.size(), 1U);
     r.list({{.id = "a", .destination = 1}});
-    for (const auto why : {event::ListLossReason::timed_out, event::ListLossReason::relocated}) {
+    for (const auto why :
+         {event::SubscriptionLossReason::timed_out, event::SubscriptionLossReason::relocated}) {
       const auto n = r.asked.size();
-      r.round({event::EndpointListLost{why}});
+      r.round({event::EndpointListSubscriptionLost{why}});
       r.run_to(r.now + 2 * kS);
       ASSERT_EQ(r.asked.size(), n + 1);
       r.list({{.id = "a", .destination = 1}});
@@ -1049,24 +1051,26 @@
         while (r.asked.size() == n && r.now < 1000 * kS) r.run_to(r.now + 20 * kMs);
         return r.asked.back();
       };
-      const auto lose = [&](event::ListLossReason why) {
+      const auto lose = [&](event::SubscriptionLossReason why) {
         const auto n = r.asked.size();
-        r.round({event::EndpointListLost{why}});
+        r.round({event::EndpointListSubscriptionLost{why}});
         return next(n);
       };
       r.round({event::EndpointListSnapshot{{{.id = "a", .destination = 1}}, true}});
       for (Time began = next(0), calls = 0; calls < 12; calls++) {
         r.run_to(began + s.poll_timeout);
-        const Time again = lose(event::ListLossReason::failed);
+        const Time again = lose(event::SubscriptionLossReason::failed);
         ASSERT_LE(again, began + 5 * kS) << relays << " relays, call " << calls;
         began = again;
       }
-      for (const auto why : {event::ListLossReason::failed, event::ListLossReason::timed_out,
-                             event::ListLossReason::relocated}) {
+      for (const auto why : {event::SubscriptionLossReason::failed, event::SubscriptionLossReason::timed_out,
+                             event::SubscriptionLossReason::relocated}) {
         r.list({{.id = "a", .destination = 1}});
         r.run_to(r.now + 20 * kS);
-        const Time lost = r.now, silent_for = why == event::ListLossReason::timed_out ? s.watch_timeout : 0;
-        ASSERT_LE(lose(why) + silent_for, lost + (why == event::ListLossReason::relocated ? 3 : 5) * kS)
+        const Time lost = r.now,
+                   silent_for = why == event::SubscriptionLossReason::timed_out ? s.subscription_timeout : 0;
+        ASSERT_LE(lose(why) + silent_for,
+                  lost + (why == event::SubscriptionLossReason::relocated ? 3 : 5) * kS)
             << relays;
       }
     }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -12,7 +12,7 @@
 Settings of_many() {
   auto s = plain();
   s.relay_count = kRelays;
-  s.weights = WeightKind::rough;
+  s.weight_kind = WeightKind::approximate;
   return s;
 }
 
@@ -117,8 +117,8 @@
   constexpr Time outage_from = 6 * kS, outage_until = 11 * kS, slow_start_duration = 10 * kS,
                  window_length = 1500 * kMs;
   auto settings = of_many();
-  settings.slow_start_capacity = slow_start_capacity, settings.slow_start_duration = slow_start_duration,
-  settings.overload_duration = window_length;
+  settings.slow_start_capacity_fraction = slow_start_capacity,
+  settings.slow_start_duration = slow_start_duration, settings.overload_duration = window_length;
   Fleet fleet(settings);
   const auto capacity = [&](Time t) {
     const double warm = static_cast<double>(t - outage_until) / slow_start_duration;
@@ -166,12 +166,14 @@
 };
 double most_pushed(const Outage& o) {
   auto set = of_many();
-  set.relay_count = o.relays, set.weights = WeightKind::none;
-  set.slow_start_capacity = 0.2, set.slow_start_duration = 9 * kS, set.overload_duration = 1500 * kMs;
+  set.relay_count = o.relays, set.weight_kind = WeightKind::none;
+  set.slow_start_capacity_fraction = 0.2, set.slow_start_duration = 9 * kS,
+  set.overload_duration = 1500 * kMs;
   const Time begins = 6 * kS, back = begins + o.lasts;
   const auto capacity = [&](Time t) {
     const double warm = static_cast<double>(t - back) / static_cast<double>(set.slow_start_duration);
-    return 1.2 * o.limit * std::min(1.0, set.slow_start_capacity + (1 - set.slow_start_capacity) * warm);
+    return 1.2 * o.limit *
+           std::min(1.0, set.slow_start_capacity_fraction + (1 - set.slow_start_capacity_fraction) * warm);
   };
   Fleet fleet(set, o.seed, o.endpoints, true);
   std::map<const Relay*, Time> told;  // of the outage, first
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -8,7 +8,7 @@
 namespace message_relay::testing {
 namespace {
 
-using dispatch::event::ListLossReason;
+using dispatch::event::SubscriptionLossReason;
 
 TEST(JsonStreamSplitterTest, ReturnsCompleteValuesHoweverTheyAreBroken) {
   const std::string first = "{\n  \"a\": \"}{ \\\" \\\\\",\n  \"b\": [\n    {}\n  ]\n}", second = "[1,[2]]";
@@ -51,7 +51,7 @@
     platform.emplace(
         io, where(agent), names, PlatformTimeouts{answer, silent, notice}, 41,
         [this](EndpointList list) { lists.push_back(std::move(list)); },
-        [this](ListLossReason why) { lost.push_back(why); }, [](const std::vector<MessageId>&) {});
+        [this](SubscriptionLossReason why) { lost.push_back(why); }, [](const std::vector<MessageId>&) {});
     platform->watch();
   }
   template <class Condition>
@@ -75,7 +75,7 @@
   std::vector<Got> asked;
   configuration::SettingNames names;
   std::vector<EndpointList> lists;
-  std::vector<ListLossReason> lost;
+  std::vector<SubscriptionLossReason> lost;
   std::optional<Platform> platform;
   static constexpr std::chrono::microseconds kLong = std::chrono::seconds(300), kShort{20'000};
 };
@@ -98,7 +98,7 @@
 TEST_F(PlatformTest, AQueryWithoutAResponseTimesOut) {
   begin(kShort, kLong);
   wait_for([&] { return !lost.empty(); }, "its timeout");
-  EXPECT_EQ(lost, std::vector<ListLossReason>{ListLossReason::failed});
+  EXPECT_EQ(lost, std::vector<SubscriptionLossReason>{SubscriptionLossReason::failed});
 }
 
 TEST_F(PlatformTest, AWatchWithoutDataIsReportedAsTimedOut) {
@@ -106,7 +106,7 @@
   wait_for([&] { return asked.size() == 1; }, "the watch");
   asked[0].session->write(kHead + chunk(list(42)));
   wait_for([&] { return !lost.empty(); }, "its end");
-  EXPECT_EQ(lost, std::vector<ListLossReason>{ListLossReason::timed_out});
+  EXPECT_EQ(lost, std::vector<SubscriptionLossReason>{SubscriptionLossReason::timed_out});
 }
 
 // A list that still comes from the former address after discovery has moved is dropped.
@@ -116,7 +116,7 @@
   wait_for([&] { return asked.size() == 1; }, "the watch");
   asked[0].session->write(kHead + chunk(list(42)));
   platform->relocate(where(moved));  // it lies unread in the socket
-  EXPECT_EQ(lost, std::vector<ListLossReason>{ListLossReason::relocated});
+  EXPECT_EQ(lost, std::vector<SubscriptionLossReason>{SubscriptionLossReason::relocated});
   platform->watch();
   wait_for([&] { return asked.size() == 2; }, "the watch at the new address");
   EXPECT_EQ(asked[1].request.target(), "/catalog/members?follow=1&since=0");
@@ -138,7 +138,8 @@
   EXPECT_EQ(asked[1].request.target(), "/catalog/members");
   asked[1].session->close();
   wait_for([&] { return lost.size() == 2; }, "its loss");
-  EXPECT_EQ(lost, (std::vector<ListLossReason>{ListLossReason::relocated, ListLossReason::timed_out}));
+  EXPECT_EQ(lost, (std::vector<SubscriptionLossReason>{SubscriptionLossReason::relocated,
+                                                       SubscriptionLossReason::timed_out}));
 }
 
 // An idle connection falls silent just as a notice is written to it: the notice is sent on a new one, long
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -148,7 +148,7 @@
 // After any outage, no window may hold much more than this relay's part of what a cold destination stands.
 void expect_gentle_return(Outcome symptom) {
   auto s = plain();
-  s.overload_multiple = 2, s.slow_start_capacity = 0.2, s.slow_start_duration = 8 * kS;
+  s.overload_multiple = 2, s.slow_start_capacity_fraction = 0.2, s.slow_start_duration = 8 * kS;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto serve = [](const Sent&) -> std::optional<Outcome> { return Outcome::succeeded; };
@@ -189,7 +189,7 @@
 }
 TEST(Waits, ToldWaitHoldsOneRouteWhereRoutesAreApart) {
   auto s = plain();
-  s.kinds[0].independent_routes = true;
+  s.kinds[0].independent_endpoints = true;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
   const auto id = r.arrive(kSafe);
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -208,7 +208,7 @@
   dispatch::Settings settings;
   settings.classes.resize(3);
   settings.kinds.resize(2);
-  settings.kinds[1].independent_routes = true;
+  settings.kinds[1].independent_endpoints = true;
   settings.kinds[1].max_batch_size = 4;
   settings.min_round_interval = 5'000;
   return settings;
@@ -233,10 +233,10 @@
   dispatcher.handle(written_at, {dispatch::event::EndpointListSnapshot{stored_state_endpoints(), false}},
                     actions);
   EXPECT_NE(dispatcher.learned_state(), stored) << "the text holds nothing but defaults";
-  EXPECT_EQ(dispatcher.ejected_endpoint_count(), 0U);
+  EXPECT_EQ(dispatcher.excluded_endpoint_count(), 0U);
   dispatcher.handle(written_at, {dispatch::event::LearnedStateRestored{stored}}, actions);
   EXPECT_EQ(dispatcher.learned_state(), stored);
-  EXPECT_EQ(dispatcher.ejected_endpoint_count(), 2U)
+  EXPECT_EQ(dispatcher.excluded_endpoint_count(), 2U)
       << "b, whose calls failed, and g, which refused connects";
 }
 
