--- a/include/dispatch/settings.hpp
+++ b/include/dispatch/settings.hpp
@@ -23,7 +23,7 @@
 /// The meaning of Endpoint::weight.
 enum class WeightKind {
   none,        ///< the weight is ignored
-  nominal,     ///< the rated capacity in calls per second
+  nominal,     ///< the exact capacity in calls per second
   approximate  ///< an estimate of the capacity in calls per second
 };
 
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -61,7 +61,7 @@
 }
 
 void Dispatcher::State::on(const event::GossipReceived& gossip) {
-  const auto id = rejecting_endpoint(gossip.payload);
+  const auto id = parse_rejection_gossip(gossip.payload);
   EndpointState* const endpoint = id ? directory.find(*id) : nullptr;
   if (endpoint == nullptr) return;
   directory.scope_of(*endpoint).limiter.reduce_admission(round, rejection_statistics, RejectionSource::gossip,
@@ -209,7 +209,7 @@
 
 void Dispatcher::State::on_list_received() {
   subscribed = true;
-  poll_gap = kInitialPollGap;
+  poll_gap = kInitialPollBackoff;
   next_poll_at = kNever;
   wait_for_list_until = 0;
 }
--- a/src/dispatcher_state.hpp
+++ b/src/dispatcher_state.hpp
@@ -126,9 +126,9 @@
 
   Time next_poll_at = kNever;
   Time last_poll_at = -kNever;
-  double poll_gap = kInitialPollGap;  // seconds; after a poll that failed
-  bool subscribed = false;            // as far as is known
-  Time wait_for_list_until = 0;       // until then nothing is sent by a cached list; 0: no such wait
+  double poll_gap = kInitialPollBackoff;  // seconds; after a poll that failed
+  bool subscribed = false;                // as far as is known
+  Time wait_for_list_until = 0;           // until then nothing is sent by a cached list; 0: no such wait
 
   // Of the present round.
   std::map<std::uint64_t, CallId> recovered_calls;  // numbers of an earlier incarnation's calls, and ours
--- a/src/endpoint_health.cpp
+++ b/src/endpoint_health.cpp
@@ -103,7 +103,8 @@
   if (is_in_slow_start())
     capacity += (1 - settings.slow_start_capacity_fraction) * seconds(round.now() - record_.changed_at) /
                 seconds(state_duration(round));
-  const double multiple = settings.overload_multiple * overload_budget(settings) * std::min(capacity, 1.0);
+  const double multiple =
+      settings.overload_multiple * overload_budget_fraction(settings) * std::min(capacity, 1.0);
   // Not served since: perhaps it returned only now, so no more than was asked of it before, backlog or not.
   return record_.expected_rate * (is_on_probation() ? std::min(multiple, 1.0) : multiple);
 }
--- a/src/endpoint_state.hpp
+++ b/src/endpoint_state.hpp
@@ -38,8 +38,8 @@
   bool independent_route = false;           // it has a rate limit and outages of its own
   bool suspended = false;                   // by operators
   RateLimitScope own_scope;                 // used with an independent route only
-  RateEstimator served{kServedRateMemory};
-  RateEstimator demand{kDemandMemory};  // first attempts while healthy
+  RateEstimator served{kServedRateTimeConstant};
+  RateEstimator demand{kDemandTimeConstant};  // first attempts while healthy
   LatencyEstimator latency{kLatencyParameters};
   EndpointHealth health;
   std::set<CallId> calls;                // in flight, oldest first
--- a/src/gossip_message.hpp
+++ b/src/gossip_message.hpp
@@ -1,4 +1,5 @@
-// The text of a gossip message between relays: its version and kind in two characters, then its subject.
+// The text format of gossip messages between relays: two characters for the version and the kind of the
+// message, followed by its subject.
 #pragma once
 
 #include <optional>
@@ -8,15 +9,16 @@
 
 namespace dispatch {
 
-inline const std::string kRejectionGossip = "1r";  // version 1, "rejected"; relays of other builds read it
+/// Version 1, kind "r": an endpoint rejected a call. Other versions of the relay parse this prefix.
+inline const std::string kRejectionGossipPrefix = "1r";
 
-/// Tells that an endpoint rejected a call.
-inline std::string rejection_gossip(const EndpointId& endpoint) { return kRejectionGossip + endpoint; }
+/// Formats the message that reports a call rejected by the endpoint.
+inline std::string rejection_gossip(const EndpointId& endpoint) { return kRejectionGossipPrefix + endpoint; }
 
-/// The endpoint that such a message names; nothing where the message is of another kind.
-inline std::optional<EndpointId> rejecting_endpoint(const std::string& payload) {
-  if (payload.rfind(kRejectionGossip, 0) != 0) return std::nullopt;
-  return payload.substr(kRejectionGossip.size());
+/// Returns the endpoint that a rejection message names, or std::nullopt for a message of another kind.
+inline std::optional<EndpointId> parse_rejection_gossip(const std::string& payload) {
+  if (payload.rfind(kRejectionGossipPrefix, 0) != 0) return std::nullopt;
+  return payload.substr(kRejectionGossipPrefix.size());
 }
 
 }  // namespace dispatch
--- a/src/low_rate_pacer.hpp
+++ b/src/low_rate_pacer.hpp
@@ -61,7 +61,7 @@
     if (record_.demand_factor > kMaxDemandFactor) record_.demand_factor = kUnlimited;
   }
 
-  LowRatePacerRecord record_{kDemandMemory};
+  LowRatePacerRecord record_{kDemandTimeConstant};
 };
 
 }  // namespace dispatch
--- a/src/rate_limiter.cpp
+++ b/src/rate_limiter.cpp
@@ -190,10 +190,10 @@
   // start. In a small fleet the run of rejections that ejects comes soon enough; one of each of many is too
   // much.
   const double slow_start =
-      settings.overload_multiple * overload_budget(settings) * settings.slow_start_capacity_fraction;
+      settings.overload_multiple * overload_budget_fraction(settings) * settings.slow_start_capacity_fraction;
   if (record_.rejections >= 2 && is_large_fleet(settings) && token_quota(round) == 0)
     probability = std::min(probability, slow_start);
-  if (record_.served.rate(round.now()) * kServedRateMemory >= kMinRecentServes) return true;
+  if (record_.served.rate(round.now()) * kServedRateTimeConstant >= kMinRecentServes) return true;
   if (round.uniform() < probability) return true;
   record_.admission_held_until = round.now() + micros(jittered(round, max_backoff(round)));
   round.wake_up_at(record_.admission_held_until);
--- a/src/rate_limiter.hpp
+++ b/src/rate_limiter.hpp
@@ -63,7 +63,7 @@
   double admission_probability(const RoundContext& round) const;
 
   std::size_t kind_ = 0;  // of the destination
-  RateLimiterRecord record_{kServedRateMemory};
+  RateLimiterRecord record_{kServedRateTimeConstant};
 };
 
 }  // namespace dispatch
