--- a/src/call_table.hpp
+++ b/src/call_table.hpp
@@ -1,4 +1,4 @@
-// The calls in flight.
+// The calls that are in flight.
 #pragma once
 
 #include <cstddef>
@@ -8,17 +8,18 @@
 
 namespace dispatch {
 
-/// Calls by their numbers, which count from 1 in the order in which the calls began.
+/// The calls in flight by their ids. Ids count from 1 in the order in which the calls began.
 class CallTable {
  public:
+  /// Adds a call without messages and returns its id.
   CallId begin_call(EndpointState& endpoint, Time sent_at) {
     calls_[next_id_] = Call{&endpoint, sent_at, 0, 0, false};
     return next_id_++;
   }
-  /// Only for calls in flight.
+  /// Throws std::out_of_range unless the call is in flight.
   Call& at(CallId id) { return calls_.at(id); }
   const Call& at(CallId id) const { return calls_.at(id); }
-  /// Null for a call that is over.
+  /// Returns null for a call that has ended.
   const Call* find(CallId id) const {
     const auto it = calls_.find(id);
     return it == calls_.end() ? nullptr : &it->second;
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -31,7 +31,7 @@
   poll_list();
   dispatch();
   close_unused_connections();
-  order_keys.forget_unused(round.now());
+  order_keys.remove_unused(round.now());
   directory.remove_unused(round);
   const Time wakeup = round.next_wakeup();
   if (wakeup >= timer_at || wakeup >= kNever) return;
@@ -75,7 +75,7 @@
   message.message_class = &settings.classes[static_cast<std::size_t>(arrival.message_class)];
   message.deadline = round.now() + arrival.time_to_deadline;
   message.not_before = round.now();
-  message.objective =
+  message.full_value_until =
       message.deadline - message.message_class->deadline + message.message_class->latency_objective;
   message.weight = message.message_class->priority_weight * tenant_weight_fraction(arrival.tenant);
   message.order_key = message.message_class->ordered ? arrival.order_key : std::string();
@@ -119,7 +119,7 @@
   }
   Call& call = calls.at(call_id);
   call.message_count++;
-  call.unsettled_count++;
+  call.pending_count++;
   message.in_flight[in_flight.attempt] = call_id;
 }
 
@@ -134,8 +134,8 @@
   Call& call = calls.at(call_id);
   EndpointState& endpoint = *call.endpoint;
   const Time sent_at = call.sent_at;
-  call.unsettled_count--;
-  const bool call_is_over = call.unsettled_count == 0;
+  call.pending_count--;
+  const bool call_is_over = call.pending_count == 0;
   if (call_is_over) endpoint.calls.erase(call_id);
   record_outcome(endpoint, call, attempt);
   if (call_is_over) {
@@ -200,7 +200,7 @@
   }
   Call& call = calls.at(endpoint.current_call);
   call.message_count++;
-  call.unsettled_count++;
+  call.pending_count++;
   message.in_flight[message.attempts_made] = endpoint.current_call;
   message.attempts_made++;
   round.emit(
--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -90,8 +90,8 @@
   if (ready > now) return ready;
   // A probe request that may be lost is no place for a message that can't be repeated.
   if (endpoint.health.is_ejected() && message_class.idempotency == Idempotency::none &&
-      endpoint.health.record().last_failure_may_have_run && now < message.objective)
-    return message.objective;
+      endpoint.health.record().last_failure_may_have_run && now < message.full_value_until)
+    return message.full_value_until;
   return static_cast<int>(endpoint.calls.size()) < max_calls(endpoint) ? now : kNever;
 }
 
--- a/src/message_delivery.cpp
+++ b/src/message_delivery.cpp
@@ -30,15 +30,15 @@
 
 double value_at(const Settings& settings, const Message& message, Time time) {
   if (time >= message.deadline) return 0;
-  if (time <= message.objective) return message.weight;
+  if (time <= message.full_value_until) return message.weight;
   const ClassSettings& message_class = *message.message_class;
   const double late_fraction = message_class.late_weight_fraction;
-  const double late_by = seconds(time - message.objective);
+  const double late_by = seconds(time - message.full_value_until);
   if (settings.value_decay == ValueDecay::exponential) {
     const double left = std::exp2(-late_by / seconds(message_class.latency_objective));
     return message.weight * std::max(late_fraction, left);
   }
-  const double span = std::max(1e-6, seconds(message.deadline - message.objective));
+  const double span = std::max(1e-6, seconds(message.deadline - message.full_value_until));
   return message.weight * (1 - (1 - late_fraction) * late_by / span);
 }
 
@@ -103,8 +103,8 @@
 // order waits.
 void Dispatcher::State::resume(Message& message) {
   if (!message.order_key.empty() && message.possible_execution_zone)
-    order_keys.keep_quiet(message.order_key,
-                          message.possible_execution_sent_at + settings.order_key_quiet_period);
+    order_keys.extend_quiet_period(message.order_key,
+                                   message.possible_execution_sent_at + settings.order_key_quiet_period);
   if (message.attempts_made > 0)
     message.not_before = round.now() + micros(jittered(round, backoff_of(message)));
   fail_if_unsendable(message);
@@ -134,7 +134,7 @@
   const bool may_run_on =
       outcome == Outcome::timeout || outcome == Outcome::reset || outcome == Outcome::cancelled;
   if (may_run_on && !message.order_key.empty())
-    order_keys.keep_quiet(message.order_key, round.now() + settings.order_key_quiet_period);
+    order_keys.extend_quiet_period(message.order_key, round.now() + settings.order_key_quiet_period);
   if (attempt.message_settled || outcome == Outcome::succeeded) message.settled = true;
   if (message.settled || !message.in_flight.empty()) return;
   const double delay = std::max(directory.scope_of(endpoint).backoff.delay(round), min_backoff(round));
--- a/src/records.hpp
+++ b/src/records.hpp
@@ -1,4 +1,4 @@
-// What is kept of a message and of a call: plain records without logic.
+// The records that the dispatcher keeps of a message and of a call.
 #pragma once
 
 #include <cstdint>
@@ -13,39 +13,44 @@
 
 struct EndpointState;
 
-using CallId = std::uint64_t;  // counts from 1; 0: none
+/// Identifies a call. Counts from 1; 0 means no call.
+using CallId = std::uint64_t;
 
-/// What a call finds out: ordinary traffic, the capacity of an endpoint in slow start, or, as a probe
-/// request, whether an ejected one is back.
-enum class CallKind { ordinary, slow_start, probe };
-/// Who met a rejection.
+/// The role of a call in judging its endpoint.
+enum class CallKind {
+  ordinary,
+  slow_start,  ///< tests how much an endpoint in slow start can serve
+  probe        ///< tests whether an ejected endpoint serves again
+};
+/// How this relay learned of a rejection.
 enum class RejectionSource { own_call, gossip };
 
-/// A call in flight: one request with one or several messages.
+/// A call in flight: one request that carries one or more messages.
 struct Call {
   EndpointState* endpoint = nullptr;
   Time sent_at = 0;
-  int message_count = 0;          // messages that went with it
-  int unsettled_count = 0;        // those of them whose outcome is still to come
-  bool outcome_recorded = false;  // its outcome was counted once for the endpoint
+  int message_count = 0;          // messages sent with the call
+  int pending_count = 0;          // those of them whose outcome is still unknown
+  bool outcome_recorded = false;  // the outcome has been counted for the endpoint, once for all messages
 };
 
-/// A message that this relay has taken on and not forgotten yet.
+/// A message that this relay accepted and still stores.
 struct Message {
   MessageId id = 0;
   const ClassSettings* message_class = nullptr;
   DestinationId destination = 0;
-  double weight = 0;      // its value until the objective
-  Time objective = 0;     // delivered by then, it has its full value
-  Time deadline = 0;      // delivered after it, it has none
-  Time not_before = 0;    // the next attempt waits until then
-  std::string order_key;  // empty: none
+  double weight = 0;          // value of a delivery by full_value_until
+  Time full_value_until = 0;  // the end of the latency objective
+  Time deadline = 0;          // a delivery after this time has no value
+  Time not_before = 0;        // earliest time of the next attempt
+  std::string order_key;      // empty: none
   int attempts_made = 0;
-  int cancelled_attempt = -1;                  // the last attempt that this relay cancelled
-  std::map<int, CallId> in_flight;             // number of the attempt, and its call
-  std::optional<int> possible_execution_zone;  // where the first attempt that may have run was sent
-  Time possible_execution_sent_at = 0;         // when that was
-  bool settled = false;                        // its final answer is given, or none is wanted any more
+  int cancelled_attempt = -1;       // the last attempt that this relay cancelled; -1: none
+  std::map<int, CallId> in_flight;  // the calls in flight by the numbers of their attempts
+  // The zone to which the first attempt that may have been executed was sent; not set: there was none.
+  std::optional<int> possible_execution_zone;
+  Time possible_execution_sent_at = 0;  // when that attempt was sent
+  bool settled = false;                 // the final answer was given, or none is expected any more
 };
 
 }  // namespace dispatch
