--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -162,7 +162,7 @@
 
 void Dispatcher::State::on_served(EndpointState& endpoint, Time sent_at, const event::AttemptEnded& attempt) {
   RateLimitScope& scope = directory.scope_of(endpoint);
-  endpoint.served.add_event(round.now());
+  endpoint.served_calls.add_event(round.now());
   scope.backoff.on_success(round);
   scope.limiter.on_served(round, rejection_statistics, attempt.load_report);
   low_rate_pacer.on_served(round, scope.limiter);
--- a/src/endpoint_health.cpp
+++ b/src/endpoint_health.cpp
@@ -157,7 +157,7 @@
 void OutlierDetector::remember_rate(EndpointState& endpoint) {
   if (!endpoint.health.is_healthy()) return;
   const auto siblings =
-      endpoint.independent_route ? 1.0 : static_cast<double>(directory_.siblings_of(endpoint).size());
+      endpoint.is_independent ? 1.0 : static_cast<double>(directory_.siblings_of(endpoint).size());
   const double quota = directory_.scope_of(endpoint).limiter.quota(round_) / std::max(1.0, siblings);
   const double least = quota > 0 ? 0 : kMinEndpointRate / round_.settings().relay_count;
   endpoint.health.remember_rate(std::max({endpoint.demand.rate(round_.now()), quota, least}));
@@ -173,7 +173,7 @@
   const EndpointState* model = nullptr;
   for (const EndpointState* const sibling : directory_.siblings_of(endpoint))
     if (model == nullptr || sibling->health.is_healthy()) model = sibling;
-  if (model != nullptr && !endpoint.independent_route && !model->health.is_healthy())
+  if (model != nullptr && !endpoint.is_independent && !model->health.is_healthy())
     endpoint.health.inherit(round_, model->health);
 }
 
@@ -183,7 +183,7 @@
 }
 
 void OutlierDetector::on_served(EndpointState& endpoint, Time sent_at) {
-  directory_.scope_of(endpoint).failures = 0;
+  directory_.scope_of(endpoint).consecutive_failures = 0;
   for (int i = 0; i < endpoint.health.record().isolated_failures; i++)
     isolated_failure_share_ += kIsolatedFailureGain * (1 - isolated_failure_share_);
   isolated_failure_share_ *= 1 - kIsolatedFailureGain;
@@ -195,7 +195,7 @@
   const bool shut = directory_.scope_of(endpoint).limiter.rejects_everything(round_);
   if (!shut && endpoint.health.is_healthy()) return;
   endpoint.health.count_as_failing();
-  if (endpoint.independent_route) {
+  if (endpoint.is_independent) {
     if (shut || endpoint.health.is_ejected()) eject(endpoint, HealthChangeCause::all_rejected);
     return;
   }
@@ -250,9 +250,9 @@
   RateLimitScope& scope = directory_.scope_of(endpoint);
   const bool silent = attempt.outcome == Outcome::timeout || attempt.outcome == Outcome::cancelled;
   const bool soon = scope.limiter.is_low_rate(round_) || (silent && is_large_fleet(round_.settings()));
-  scope.failures++;
-  if (scope.failures < (soon ? failures : std::max(kEjectionFailures, chance))) return;
-  if (!endpoint.independent_route) eject_siblings(endpoint, round_.now() - attempt.latency);
+  scope.consecutive_failures++;
+  if (scope.consecutive_failures < (soon ? failures : std::max(kEjectionFailures, chance))) return;
+  if (!endpoint.is_independent) eject_siblings(endpoint, round_.now() - attempt.latency);
 }
 
 void OutlierDetector::eject_siblings(EndpointState& endpoint, Time failed_call_sent_at) {
--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -35,7 +35,7 @@
 // The expected wait there, with its fee and distance.
 double cost(const Settings& settings, const EndpointState& endpoint) {
   const auto zone = static_cast<std::size_t>(endpoint.info.zone);
-  const bool has_fee = endpoint.independent_route && zone < settings.zone_surcharges.size();
+  const bool has_fee = endpoint.is_independent && zone < settings.zone_surcharges.size();
   const double fee = has_fee ? settings.zone_surcharges[zone] : 0;
   const double load =
       static_cast<double>(endpoint.calls.size()) + 1 + endpoint.health.record().consecutive_failures;
@@ -98,7 +98,8 @@
 bool Dispatcher::State::has_room_in_batch(const EndpointState& endpoint) const {
   if (endpoint.current_call == 0) return false;
   const Call* const call = calls.find(endpoint.current_call);
-  return call != nullptr && call->sent_at == round.now() && call->message_count < endpoint.batch_size;
+  return call != nullptr && call->sent_at == round.now() &&
+         call->message_count < endpoint.adaptive_batch_size;
 }
 
 // Bulkhead: bounds one endpoint's calls in flight, so that a silent or slow one can't hold those of the
@@ -111,24 +112,25 @@
   const bool suspect =
       outlier_detector.overdue_calls(endpoint) > 0 || endpoint.health.record().consecutive_failures > 0;
   const double most = std::max(1.0, suspect ? all * kSuspectCalls : std::ceil(all * kEndpointCalls));
-  const double explained = kHeadroom * endpoint.served.rate(round.now()) * endpoint.latency.recent();
+  const double explained = kHeadroom * endpoint.served_calls.rate(round.now()) * endpoint.latency.recent();
   double limit = std::min(most, kFreeCalls + explained);
-  if (endpoint.concurrency_cap > 0) limit = std::min<double>(limit, endpoint.concurrency_cap);
+  if (endpoint.connection_limit_estimate > 0)
+    limit = std::min<double>(limit, endpoint.connection_limit_estimate);
   return std::max(1, static_cast<int>(limit));
 }
 
 void Dispatcher::State::start_estimates(EndpointState& endpoint) {
-  endpoint.batch_size = endpoint.max_batch_size;
+  endpoint.adaptive_batch_size = endpoint.max_batch_size;
   endpoint.use_gap.start(seconds(settings.connection_idle_timeout) * kInitialUseGapFraction);
   endpoint.demand.start(round.now());
 }
 
 void Dispatcher::State::grow_capacity(EndpointState& endpoint) {
-  endpoint.batch_size = std::min(endpoint.batch_size + 1, endpoint.max_batch_size);
-  if (endpoint.concurrency_cap == 0) return;
-  if (round.now() - endpoint.concurrency_cap_changed_at <= micros(kCapGrowthGap)) return;
-  endpoint.concurrency_cap++;
-  endpoint.concurrency_cap_changed_at = round.now();
+  endpoint.adaptive_batch_size = std::min(endpoint.adaptive_batch_size + 1, endpoint.max_batch_size);
+  if (endpoint.connection_limit_estimate == 0) return;
+  if (round.now() - endpoint.connection_limit_changed_at <= micros(kCapGrowthGap)) return;
+  endpoint.connection_limit_estimate++;
+  endpoint.connection_limit_changed_at = round.now();
 }
 
 // A call's messages share its fate: failing calls take fewer along. Guards against whole batches lost to a
@@ -136,7 +138,7 @@
 // under a limit of calls, small batches would starve the other messages.
 void Dispatcher::State::shrink_batch(EndpointState& endpoint, Outcome outcome, int message_count) {
   if (outcome == Outcome::connect_failed || outlier_detector.may_be_isolated(endpoint)) return;
-  endpoint.batch_size = std::max(1, std::min(endpoint.batch_size, message_count) / 2);
+  endpoint.adaptive_batch_size = std::max(1, std::min(endpoint.adaptive_batch_size, message_count) / 2);
 }
 
 // Connects that fail while calls in flight are answered: its table of connections may be full.
@@ -145,8 +147,8 @@
   endpoint.last_connect_failure_at = round.now();
   if (!endpoint.health.is_healthy() || endpoint.health.record().consecutive_failures > 0) return;
   if (endpoint.calls.empty() || outlier_detector.overdue_calls(endpoint) > 0) return;
-  endpoint.concurrency_cap = static_cast<int>(endpoint.calls.size());
-  endpoint.concurrency_cap_changed_at = round.now();
+  endpoint.connection_limit_estimate = static_cast<int>(endpoint.calls.size());
+  endpoint.connection_limit_changed_at = round.now();
 }
 
 void Dispatcher::State::on_unanswered(EndpointState& endpoint, const event::AttemptEnded& attempt) {
--- a/src/round_context.hpp
+++ b/src/round_context.hpp
@@ -1,4 +1,5 @@
-// What the parts of the dispatcher share during a round: time, settings, random numbers and the actions.
+// What the components of the dispatcher share during a round: the time, the settings, random numbers and the
+// list of actions.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +15,8 @@
 
 namespace dispatch {
 
-/// Decides nothing. Random numbers are drawn in the order of the calls; equal seeds give equal numbers.
+/// The state of the current round. Random numbers depend only on the seed and on the order in which they are
+/// drawn.
 class RoundContext {
  public:
   RoundContext(Settings settings, std::uint64_t seed)
@@ -28,7 +30,8 @@
     }
   }
 
-  /// Begins a round, which appends its actions to `actions`. Time never goes back.
+  /// Begins a round at time `at`, or at the time of the previous round if that is later. The actions of the
+  /// round are appended to `actions`, which must outlive the round.
   void begin(Time at, std::vector<Action>& actions) {
     now_ = std::max(now_, at);
     actions_ = &actions;
@@ -37,24 +40,25 @@
 
   Time now() const { return now_; }
   const Settings& settings() const { return settings_; }
-  /// The least latency objective, and the least deadline, of all classes; in seconds.
+  /// The shortest latency objective of all classes, in seconds.
   double shortest_objective() const { return shortest_objective_; }
+  /// The shortest deadline of all classes, in seconds from arrival.
   double shortest_deadline() const { return shortest_deadline_; }
 
-  /// A random number from 0 up to, but not including, 1.
+  /// Returns a uniformly distributed random number in [0, 1).
   double uniform() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
-  /// Appends one of the types of Action.
-  template <class OneAction>
-  void emit(OneAction&& action) {
-    actions_->emplace_back(std::forward<OneAction>(action));
+  /// Appends an action; its type is one of the alternatives of Action.
+  template <class ActionType>
+  void emit(ActionType&& action) {
+    actions_->emplace_back(std::forward<ActionType>(action));
   }
-  /// A line for the log: an event, and what tells more of it, as `key=value` words.
+  /// Writes a line to the log: the name of an event, then its details as `key=value` words.
   void log(std::string text) { emit(action::Log{std::move(text)}); }
-  /// Asks for a round at that time, or as soon after it as rounds may follow one another.
+  /// Requests a round at that time, but not earlier than min_round_interval after this one.
   void wake_up_at(Time at) {
     next_wakeup_ = std::min(next_wakeup_, std::max(at, now_ + settings_.min_round_interval));
   }
-  /// The earliest round asked for; kNever: none.
+  /// The earliest time for which a round was requested; kNever: none was.
   Time next_wakeup() const { return next_wakeup_; }
 
  private:
--- a/src/settings_validation.cpp
+++ b/src/settings_validation.cpp
@@ -1,4 +1,4 @@
-// Checks that settings make sense before a dispatcher is built on them. Decides nothing about messages.
+// Checks that the settings are within their ranges before a dispatcher is created.
 #include <stdexcept>
 #include <string>
 
@@ -6,36 +6,38 @@
 
 namespace dispatch {
 
-void validate(const Settings& s) {
-  const auto need = [](bool ok, const char* what) {
-    if (!ok) throw std::invalid_argument(std::string("settings: ") + what);
+void validate(const Settings& settings) {
+  const auto require = [](bool valid, const char* requirement) {
+    if (!valid) throw std::invalid_argument(std::string("settings: ") + requirement);
   };
-  need(!s.classes.empty(), "classes: at least one is needed");
-  for (const auto& c : s.classes) {
-    need(c.latency_objective > 0, "classes.latency_objective: must be above 0");
-    need(c.deadline > 0, "classes.deadline: must be above 0");
-    need(c.priority_weight >= 0 && c.late_weight_fraction >= 0,
-         "classes.priority_weight and late_weight_fraction: must not be negative");
-    need(c.idempotency_window >= 0, "classes.idempotency_window: must not be negative");
+  require(!settings.classes.empty(), "classes: must contain at least one class");
+  for (const auto& message_class : settings.classes) {
+    require(message_class.latency_objective > 0, "classes.latency_objective: must be greater than 0");
+    require(message_class.deadline > 0, "classes.deadline: must be greater than 0");
+    require(message_class.priority_weight >= 0 && message_class.late_weight_fraction >= 0,
+            "classes.priority_weight and late_weight_fraction: must not be negative");
+    require(message_class.idempotency_window >= 0, "classes.idempotency_window: must not be negative");
   }
-  for (const auto& k : s.kinds) need(k.max_batch_size >= 1, "kinds.max_batch_size: must be 1 or more");
-  for (const auto& t : s.tenants)
-    need(t.quota_per_second >= 0, "tenants.quota_per_second: must not be negative");
-  need(s.relay_count >= 1, "relay_count: must be 1 or more");
-  need(s.max_calls_in_flight >= 1, "max_calls_in_flight: must be 1 or more");
-  need(s.max_open_messages >= 1, "max_open_messages: must be 1 or more");
-  need(s.max_attempts >= 1, "max_attempts: must be 1 or more");
-  need(s.min_round_interval >= 0, "min_round_interval: must not be negative");
-  need(s.connect_timeout >= 0, "connect_timeout: must not be negative");
-  need(s.connection_idle_timeout >= 0, "connection_idle_timeout: must not be negative");
-  need(s.drain_grace >= 0 && s.max_poll_interval >= 0 && s.order_key_quiet_period >= 0 &&
-           s.final_answer_grace >= 0,
-       "drain_grace, max_poll_interval, order_key_quiet_period, final_answer_grace: must not be negative");
-  need(s.overload_multiple > 0, "overload_multiple: must be above 0");
-  need(s.overload_duration >= 0 && s.slow_start_duration >= 0,
-       "overload_duration and slow_start_duration: must not be negative");
-  need(s.slow_start_capacity_fraction >= 0 && s.slow_start_capacity_fraction <= 1,
-       "slow_start_capacity_fraction: must lie between 0 and 1");
+  for (const auto& kind : settings.kinds)
+    require(kind.max_batch_size >= 1, "kinds.max_batch_size: must be at least 1");
+  for (const auto& tenant : settings.tenants)
+    require(tenant.quota_per_second >= 0, "tenants.quota_per_second: must not be negative");
+  require(settings.relay_count >= 1, "relay_count: must be at least 1");
+  require(settings.max_calls_in_flight >= 1, "max_calls_in_flight: must be at least 1");
+  require(settings.max_open_messages >= 1, "max_open_messages: must be at least 1");
+  require(settings.max_attempts >= 1, "max_attempts: must be at least 1");
+  require(settings.min_round_interval >= 0, "min_round_interval: must not be negative");
+  require(settings.connect_timeout >= 0, "connect_timeout: must not be negative");
+  require(settings.connection_idle_timeout >= 0, "connection_idle_timeout: must not be negative");
+  require(
+      settings.drain_grace >= 0 && settings.max_poll_interval >= 0 && settings.order_key_quiet_period >= 0 &&
+          settings.final_answer_grace >= 0,
+      "drain_grace, max_poll_interval, order_key_quiet_period and final_answer_grace: must not be negative");
+  require(settings.overload_multiple > 0, "overload_multiple: must be greater than 0");
+  require(settings.overload_duration >= 0 && settings.slow_start_duration >= 0,
+          "overload_duration and slow_start_duration: must not be negative");
+  require(settings.slow_start_capacity_fraction >= 0 && settings.slow_start_capacity_fraction <= 1,
+          "slow_start_capacity_fraction: must be between 0 and 1");
 }
 
 }  // namespace dispatch
