--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -1,4 +1,4 @@
-// Takes events to the parts that decide, and keeps the books; decides nothing itself.
+// Passes events to the components that make the decisions, and keeps the records of messages and calls.
 #include "dispatch/dispatcher.hpp"
 
 #include <algorithm>
@@ -11,7 +11,8 @@
 namespace dispatch {
 namespace {
 
-constexpr Time kMaxTimer = 3'600'000'000;  // one hour; a timer that expires early does no harm
+/// One hour, in microseconds. A timer that expires early is harmless.
+constexpr Time kMaxTimerDuration = 3'600'000'000;
 
 }  // namespace
 
@@ -34,9 +35,9 @@
   order_keys.remove_unused(round.now());
   directory.remove_unused(round);
   const Time wakeup = round.next_wakeup();
-  if (wakeup >= timer_at || wakeup >= kNever) return;
-  timer_at = wakeup;
-  round.emit(action::SetTimer{std::min<Time>(wakeup - round.now(), kMaxTimer), 0});
+  if (wakeup >= timer_expires_at || wakeup >= kNever) return;
+  timer_expires_at = wakeup;
+  round.emit(action::SetTimer{std::min<Time>(wakeup - round.now(), kMaxTimerDuration), 0});
 }
 
 void Dispatcher::State::on(const event::EndpointListSnapshot& snapshot) {
@@ -61,11 +62,11 @@
 }
 
 void Dispatcher::State::on(const event::GossipReceived& gossip) {
-  const auto id = parse_rejection_gossip(gossip.payload);
-  EndpointState* const endpoint = id ? directory.find(*id) : nullptr;
+  const auto rejecting_id = parse_rejection_gossip(gossip.payload);
+  EndpointState* const endpoint = rejecting_id ? directory.find(*rejecting_id) : nullptr;
   if (endpoint == nullptr) return;
   directory.scope_of(*endpoint).limiter.reduce_admission(round, rejection_statistics, RejectionSource::gossip,
-                                                         *id);
+                                                         *rejecting_id);
 }
 
 void Dispatcher::State::on(const event::Arrival& arrival) {
@@ -92,20 +93,21 @@
   message.possible_execution_zone = recovered.possible_execution_zone;
   message.possible_execution_sent_at = recovered.possible_execution_sent_at;
   if (recovered.in_flight) return recover_call(message, *recovered.in_flight);
-  resume(message);
-  forget_if_done(it);
+  resume_delivery(message);
+  remove_if_done(it);
 }
 
 void Dispatcher::State::add_or_update(const Endpoint& info) {
   const auto [endpoint, is_new] = directory.update(info);
   directory.scope_of(endpoint).limiter.start_from_weight(round, info.weight);
   if (!is_new) return;
-  start_estimates(endpoint);
+  initialize_estimates(endpoint);
   outlier_detector.on_added(endpoint);
   directory.add_sibling(endpoint);
 }
 
-// A call that is still in flight holds its place and its message, and tells what becomes of the endpoint.
+// A recovered call counts as in flight for its endpoint and its message, and its outcome counts for the
+// health of the endpoint.
 void Dispatcher::State::recover_call(Message& message, const event::CallInFlight& in_flight) {
   if (directory.find(in_flight.endpoint) == nullptr)
     add_or_update(
@@ -135,22 +137,22 @@
   EndpointState& endpoint = *call.endpoint;
   const Time sent_at = call.sent_at;
   call.pending_count--;
-  const bool call_is_over = call.pending_count == 0;
-  if (call_is_over) endpoint.calls.erase(call_id);
-  record_outcome(endpoint, call, attempt);
-  if (call_is_over) {
+  const bool call_ended = call.pending_count == 0;
+  if (call_ended) endpoint.calls.erase(call_id);
+  record_endpoint_outcome(endpoint, call, attempt);
+  if (call_ended) {
     calls.end_call(call_id);
     endpoint.use_gap.on_call_ended(round.now());
     endpoints_with_ended_calls.insert(endpoint.info.id);
   }
-  after_attempt(message, endpoint, sent_at, attempt);
-  forget_if_done(it);
+  record_message_outcome(message, endpoint, sent_at, attempt);
+  remove_if_done(it);
 }
 
-void Dispatcher::State::record_outcome(EndpointState& endpoint, Call& call,
-                                       const event::AttemptEnded& attempt) {
+void Dispatcher::State::record_endpoint_outcome(EndpointState& endpoint, Call& call,
+                                                const event::AttemptEnded& attempt) {
   directory.scope_of(endpoint).limiter.notify(round, attempt.load_report.rate_limit, attempt.retry_after);
-  if (call.outcome_recorded || !tells_of_endpoint(attempt, call)) return;
+  if (call.outcome_recorded || !outcome_reflects_endpoint(attempt, call)) return;
   call.outcome_recorded = true;
   if (attempt.outcome == Outcome::succeeded)
     on_served(endpoint, call.sent_at, attempt);
@@ -166,11 +168,11 @@
   scope.backoff.on_success(round);
   scope.limiter.on_served(round, rejection_statistics, attempt.load_report);
   low_rate_pacer.on_served(round, scope.limiter);
-  const double relative = endpoint.latency.add_answer(seconds(attempt.latency));
-  relative_latency += kRelativeLatencyGain * (relative - relative_latency);
+  const double relative_to_typical = endpoint.latency.add_answer(seconds(attempt.latency));
+  relative_latency += kRelativeLatencyGain * (relative_to_typical - relative_latency);
   outlier_detector.on_served(endpoint, sent_at);
   endpoint.idle_connections_closed = false;
-  grow_capacity(endpoint);
+  raise_limits(endpoint);
 }
 
 void Dispatcher::State::on_rejected(EndpointState& endpoint) {
@@ -185,10 +187,10 @@
 void Dispatcher::State::on_failed(EndpointState& endpoint, const event::AttemptEnded& attempt,
                                   int message_count) {
   directory.scope_of(endpoint).backoff.on_failure(round);
-  limit_concurrency(endpoint, attempt.outcome);
+  estimate_connection_limit(endpoint, attempt.outcome);
   endpoint.health.on_failed(attempt.outcome);
   on_unanswered(endpoint, attempt);
-  shrink_batch(endpoint, attempt.outcome, message_count);
+  reduce_batch_size(endpoint, attempt.outcome, message_count);
   outlier_detector.eject_failing(endpoint, attempt);
 }
 
@@ -209,7 +211,7 @@
 
 void Dispatcher::State::on_list_received() {
   subscribed = true;
-  poll_gap = kInitialPollBackoff;
+  poll_backoff = kInitialPollBackoff;
   next_poll_at = kNever;
   wait_for_list_until = 0;
 }
@@ -218,17 +220,18 @@
   const auto it = messages.find(cancelled.id);
   if (it == messages.end()) return;
   it->second.settled = true;
-  forget_if_done(it);
+  remove_if_done(it);
 }
 
 void Dispatcher::State::on(const event::TimerExpired&) {
-  if (round.now() >= timer_at) timer_at = kNever;
+  if (round.now() >= timer_expires_at) timer_expires_at = kNever;
 }
 
 void Dispatcher::State::on(const event::HealthCheckEnded&) {}
 
-// Forgets a message that is settled and has no call in flight; the next of its order key is first then.
-void Dispatcher::State::forget_if_done(MessageMap::iterator it) {
+// Removes a message that is settled and has no call in flight. The next message of its order key may then be
+// sent.
+void Dispatcher::State::remove_if_done(MessageMap::iterator it) {
   const Message& message = it->second;
   if (!message.settled || !message.in_flight.empty()) return;
   if (!message.order_key.empty()) order_keys.remove(message.order_key, message.id, round.now());
@@ -253,10 +256,10 @@
       restore_fields(line, low_rate_pacer.record());
     } else if (line.name == kDestinationLine) {
       auto& destinations = directory.destinations();
-      const auto named = std::find_if(destinations.begin(), destinations.end(), [&line](const auto& entry) {
+      const auto found = std::find_if(destinations.begin(), destinations.end(), [&line](const auto& entry) {
         return std::to_string(entry.first) == line.subject;
       });
-      if (named != destinations.end()) restore_fields(line, named->second.scope);
+      if (found != destinations.end()) restore_fields(line, found->second.scope);
     } else if (line.name == kEndpointLine) {
       EndpointState* const endpoint = directory.find(line.subject);
       if (endpoint != nullptr) restore_fields(line, *endpoint);
--- a/src/dispatcher_state.hpp
+++ b/src/dispatcher_state.hpp
@@ -1,9 +1,9 @@
-// What a dispatcher keeps, and the steps of a round. The steps are defined by concern:
+// The state of a dispatcher and the steps of a round. The steps are implemented in several files:
 //
-//   dispatcher.cpp           events to the parts, in order; learned state; gauges
-//   endpoint_selection.cpp   which endpoint gets a message, how many at once, and with which time-out
-//   message_delivery.cpp     which message is sent, held, retried, cancelled or answered
-//   list_polling.cpp         when the endpoint list is fetched again
+//   dispatcher.cpp           passes events to the components, in order; learned state; gauges
+//   endpoint_selection.cpp   selects the endpoint of a message; limits concurrency; computes call timeouts
+//   message_delivery.cpp     sends, holds, retries, cancels and settles messages
+//   list_polling.cpp         polls the endpoint list; decides whether a cached list may be used
 #pragma once
 
 #include <cstddef>
@@ -28,11 +28,12 @@
 /// The final answer to the client of a message that was not delivered.
 enum class FinalAnswer {
   failed,   ///< action::Fail
-  resubmit  ///< action::Reject where a repeat is harmless, action::Fail elsewhere
+  resubmit  ///< action::Reject if submitting the message again is harmless, otherwise action::Fail
 };
-/// Whether as many calls are in flight as may be.
+/// Whether the relay may begin another call, or max_calls_in_flight is reached.
 enum class CallSlots { free, exhausted };
 
+/// The implementation of Dispatcher.
 struct Dispatcher::State {
   using MessageMap = std::map<MessageId, Message>;
 
@@ -40,8 +41,9 @@
 
   void handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions);
   std::string learned_state();
+  /// Visits the learned fields that do not belong to one endpoint or destination.
   template <class Visitor>
-  void visit_learned_fields(Visitor&& visit) {  // of no endpoint in particular
+  void visit_learned_fields(Visitor&& visit) {
     outlier_detector.visit_learned_fields(visit);
     visit(relative_latency);
     rejection_statistics.visit_learned_fields(visit);
@@ -61,45 +63,46 @@
   void on(const event::EndpointSuspension& suspension);
   void on(const event::LearnedStateRestored& restored);
   void recover_call(Message& message, const event::CallInFlight& in_flight);
-  void forget_if_done(MessageMap::iterator it);
+  void remove_if_done(MessageMap::iterator it);
 
   void add_or_update(const Endpoint& info);
-  void record_outcome(EndpointState& endpoint, Call& call, const event::AttemptEnded& attempt);
+  void record_endpoint_outcome(EndpointState& endpoint, Call& call, const event::AttemptEnded& attempt);
   void on_served(EndpointState& endpoint, Time sent_at, const event::AttemptEnded& attempt);
   void on_rejected(EndpointState& endpoint);
   void on_failed(EndpointState& endpoint, const event::AttemptEnded& attempt, int message_count);
 
-  // Endpoint selection and capacity.
+  // Endpoint selection and concurrency.
   EndpointState* select_endpoint(const Message& message);
-  Time call_ready_at(const Message& message, EndpointState& endpoint);
+  Time earliest_send_time(const Message& message, EndpointState& endpoint);
   bool has_room_in_batch(const EndpointState& endpoint) const;
-  int max_calls(EndpointState& endpoint);
+  int max_calls_in_flight(EndpointState& endpoint);
   void on_call_begun(const Message& message, EndpointState& endpoint);
-  void start_estimates(EndpointState& endpoint);
-  void grow_capacity(EndpointState& endpoint);
-  void limit_concurrency(EndpointState& endpoint, Outcome outcome);
+  void initialize_estimates(EndpointState& endpoint);
+  void raise_limits(EndpointState& endpoint);
+  void estimate_connection_limit(EndpointState& endpoint, Outcome outcome);
   void on_unanswered(EndpointState& endpoint, const event::AttemptEnded& attempt);
-  void shrink_batch(EndpointState& endpoint, Outcome outcome, int message_count);
+  void reduce_batch_size(EndpointState& endpoint, Outcome outcome, int message_count);
   void close_idle_connections(EndpointState& endpoint);
   void close_unused_connections();
   Time call_timeout(const Message& message, const EndpointState& endpoint) const;
 
   // Messages.
   void dispatch();
-  [[nodiscard]] bool settle_if_hopeless(Message& message);
-  void reject_least_urgent(std::size_t held, std::vector<Message*>& unsent, std::vector<MessageId>& ended);
+  [[nodiscard]] bool settle_if_undeliverable(Message& message);
+  void reject_least_urgent(std::size_t open_count, std::vector<Message*>& unsent,
+                           std::vector<MessageId>& settled_ids);
   [[nodiscard]] bool try_send(Message& message);
   void send(Message& message, EndpointState& endpoint);
   Time start_within(const Message& message) const;
   void cancel_if_overdue(Message& message, CallSlots slots);
-  void resume(Message& message);
-  [[nodiscard]] bool tells_of_endpoint(const event::AttemptEnded& attempt, const Call& call) const;
-  void after_attempt(Message& message, EndpointState& endpoint, Time sent_at,
-                     const event::AttemptEnded& attempt);
+  void resume_delivery(Message& message);
+  [[nodiscard]] bool outcome_reflects_endpoint(const event::AttemptEnded& attempt, const Call& call) const;
+  void record_message_outcome(Message& message, EndpointState& endpoint, Time sent_at,
+                              const event::AttemptEnded& attempt);
   void fail_if_unsendable(Message& message);
   void settle(Message& message, FinalAnswer answer, Time retry_after = 0);
   Time blocked_until(const Message& message, Time latest_send);
-  double backoff_of(const Message& message);
+  double shortest_backoff(const Message& message);
   double tenant_weight_fraction(int tenant);
   double tenant_burst(const TenantSettings& tenant) const;
 
@@ -108,7 +111,7 @@
   [[nodiscard]] bool may_use_list();
   void on_list_received();
   void on_cached_list();
-  double pushed_poll_gap() const;
+  double agent_poll_interval() const;
   double poll_spread() const;
 
   RoundContext round;
@@ -118,20 +121,21 @@
   RejectionStatistics rejection_statistics;
   LowRatePacer low_rate_pacer;
   OutlierDetector outlier_detector;
-  double relative_latency = 1;  // recent latencies of all served calls, in typical ones
+  double relative_latency = 1;  // recent average over all endpoints: latency / typical latency
   MessageMap messages;
   OrderKeys order_keys;
   std::vector<TokenBucket> tenant_buckets;
-  Time timer_at = kNever;
+  Time timer_expires_at = kNever;  // expiry of the earliest pending timer; kNever: none is pending
 
   Time next_poll_at = kNever;
   Time last_poll_at = -kNever;
-  double poll_gap = kInitialPollBackoff;  // seconds; after a poll that failed
-  bool subscribed = false;                // as far as is known
-  Time wait_for_list_until = 0;           // until then nothing is sent by a cached list; 0: no such wait
+  double poll_backoff =
+      kInitialPollBackoff;       // shortest wait in seconds after the next failed poll, before jitter
+  bool subscribed = false;       // a list was received after the last loss, if any
+  Time wait_for_list_until = 0;  // until then, no message is sent on the basis of a cached list; 0: no wait
 
-  // Of the present round.
-  std::map<std::uint64_t, CallId> recovered_calls;  // numbers of an earlier incarnation's calls, and ours
+  // State of the current round.
+  std::map<std::uint64_t, CallId> recovered_calls;  // the calls in `calls` by their ids in an earlier process
   std::set<EndpointId> endpoints_with_ended_calls;
 };
 
--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -53,7 +53,7 @@
   double best_cost = 0;
   Time earliest = kNever;
   for (EndpointState* const endpoint : directory.endpoints_of(message.destination)) {
-    const Time ready = call_ready_at(message, *endpoint);
+    const Time ready = earliest_send_time(message, *endpoint);
     if (ready > round.now()) {
       earliest = std::min(earliest, ready);
       continue;
@@ -71,7 +71,7 @@
 
 // Every send passes here. Returns when the endpoint may be sent the message: now, later, or kNever where that
 // does not depend on time alone.
-Time Dispatcher::State::call_ready_at(const Message& message, EndpointState& endpoint) {
+Time Dispatcher::State::earliest_send_time(const Message& message, EndpointState& endpoint) {
   const Time now = round.now();
   const ClassSettings& message_class = *message.message_class;
   if (!is_in_service(endpoint)) return kNever;
@@ -92,7 +92,7 @@
   if (endpoint.health.is_ejected() && message_class.idempotency == Idempotency::none &&
       endpoint.health.record().last_failure_may_have_run && now < message.full_value_until)
     return message.full_value_until;
-  return static_cast<int>(endpoint.calls.size()) < max_calls(endpoint) ? now : kNever;
+  return static_cast<int>(endpoint.calls.size()) < max_calls_in_flight(endpoint) ? now : kNever;
 }
 
 bool Dispatcher::State::has_room_in_batch(const EndpointState& endpoint) const {
@@ -104,7 +104,7 @@
 
 // Bulkhead: bounds one endpoint's calls in flight, so that a silent or slow one can't hold those of the
 // others.
-int Dispatcher::State::max_calls(EndpointState& endpoint) {
+int Dispatcher::State::max_calls_in_flight(EndpointState& endpoint) {
   const int all = settings.max_calls_in_flight;
   // Probes are spaced; all of them in flight together may hold a part only.
   if (endpoint.health.is_on_probation())
@@ -119,13 +119,13 @@
   return std::max(1, static_cast<int>(limit));
 }
 
-void Dispatcher::State::start_estimates(EndpointState& endpoint) {
+void Dispatcher::State::initialize_estimates(EndpointState& endpoint) {
   endpoint.adaptive_batch_size = endpoint.max_batch_size;
   endpoint.use_gap.start(seconds(settings.connection_idle_timeout) * kInitialUseGapFraction);
   endpoint.demand.start(round.now());
 }
 
-void Dispatcher::State::grow_capacity(EndpointState& endpoint) {
+void Dispatcher::State::raise_limits(EndpointState& endpoint) {
   endpoint.adaptive_batch_size = std::min(endpoint.adaptive_batch_size + 1, endpoint.max_batch_size);
   if (endpoint.connection_limit_estimate == 0) return;
   if (round.now() - endpoint.connection_limit_changed_at <= micros(kCapGrowthGap)) return;
@@ -136,13 +136,13 @@
 // A call's messages share its fate: failing calls take fewer along. Guards against whole batches lost to a
 // doubtful endpoint, and against one that fails on large batches only. Not where the failure may be isolated:
 // under a limit of calls, small batches would starve the other messages.
-void Dispatcher::State::shrink_batch(EndpointState& endpoint, Outcome outcome, int message_count) {
+void Dispatcher::State::reduce_batch_size(EndpointState& endpoint, Outcome outcome, int message_count) {
   if (outcome == Outcome::connect_failed || outlier_detector.may_be_isolated(endpoint)) return;
   endpoint.adaptive_batch_size = std::max(1, std::min(endpoint.adaptive_batch_size, message_count) / 2);
 }
 
 // Connects that fail while calls in flight are answered: its table of connections may be full.
-void Dispatcher::State::limit_concurrency(EndpointState& endpoint, Outcome outcome) {
+void Dispatcher::State::estimate_connection_limit(EndpointState& endpoint, Outcome outcome) {
   if (outcome != Outcome::connect_failed) return;
   endpoint.last_connect_failure_at = round.now();
   if (!endpoint.health.is_healthy() || endpoint.health.record().consecutive_failures > 0) return;
--- a/src/message_delivery.cpp
+++ b/src/message_delivery.cpp
@@ -91,7 +91,7 @@
 }
 
 // The least at its destination; 0 where nothing is known of a failure there.
-double Dispatcher::State::backoff_of(const Message& message) {
+double Dispatcher::State::shortest_backoff(const Message& message) {
   double least = kUnlimited;
   for (EndpointState* const endpoint : directory.endpoints_of(message.destination))
     least = std::min(least, directory.scope_of(*endpoint).backoff.delay(round));
@@ -101,12 +101,12 @@
 // A message of an earlier incarnation without a call in flight. One that must not be repeated fails at once,
 // as no outcome of that incarnation will come any more. Where it may be running still, what follows it in its
 // order waits.
-void Dispatcher::State::resume(Message& message) {
+void Dispatcher::State::resume_delivery(Message& message) {
   if (!message.order_key.empty() && message.possible_execution_zone)
     order_keys.extend_quiet_period(message.order_key,
                                    message.possible_execution_sent_at + settings.order_key_quiet_period);
   if (message.attempts_made > 0)
-    message.not_before = round.now() + micros(jittered(round, backoff_of(message)));
+    message.not_before = round.now() + micros(jittered(round, shortest_backoff(message)));
   fail_if_unsendable(message);
 }
 
@@ -117,13 +117,14 @@
 }
 
 // A call that was cancelled in silence is a failure; one that was overtaken says nothing of its endpoint.
-bool Dispatcher::State::tells_of_endpoint(const event::AttemptEnded& attempt, const Call& call) const {
+bool Dispatcher::State::outcome_reflects_endpoint(const event::AttemptEnded& attempt,
+                                                  const Call& call) const {
   if (attempt.outcome == Outcome::not_sent) return false;
   return attempt.outcome != Outcome::cancelled || call.sent_at >= call.endpoint->health.record().served_at;
 }
 
-void Dispatcher::State::after_attempt(Message& message, EndpointState& endpoint, Time sent_at,
-                                      const event::AttemptEnded& attempt) {
+void Dispatcher::State::record_message_outcome(Message& message, EndpointState& endpoint, Time sent_at,
+                                               const event::AttemptEnded& attempt) {
   const Outcome outcome = attempt.outcome;
   const bool never_ran =
       outcome == Outcome::rejected || outcome == Outcome::connect_failed || outcome == Outcome::not_sent;
@@ -200,7 +201,7 @@
 }
 
 // Whether nothing can be done for the message any more; then it is answered.
-bool Dispatcher::State::settle_if_hopeless(Message& message) {
+bool Dispatcher::State::settle_if_undeliverable(Message& message) {
   const bool in_flight = !message.in_flight.empty();
   const Time last =
       in_flight ? message.deadline - 2 * settings.min_round_interval : latest_send_time(round, message);
@@ -225,7 +226,7 @@
   for (auto& [id, message] : messages) {
     if (message.settled) continue;
     held++;
-    if (settle_if_hopeless(message)) {
+    if (settle_if_undeliverable(message)) {
       ended.push_back(id);
     } else if (!message.in_flight.empty()) {
       if (settings.cancellation) cancel_if_overdue(message, slots);
@@ -242,7 +243,7 @@
   for (auto& [urgency, message] : waiting)
     if (!try_send(*message)) unsent.push_back(message);
   reject_least_urgent(held, unsent, ended);
-  for (const MessageId id : ended) forget_if_done(messages.find(id));
+  for (const MessageId id : ended) remove_if_done(messages.find(id));
 }
 
 // The buffer nearly full: hands back what is least urgent, rather than have the next messages rejected.
