--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -1,4 +1,4 @@
-// Which endpoint gets a message, how many at once, and with which time-out.
+// Selects the endpoint of a message, limits the concurrency at each endpoint and computes call timeouts.
 #include <algorithm>
 #include <cmath>
 
@@ -7,24 +7,39 @@
 namespace dispatch {
 namespace {
 
-// Parts of all calls that may be in flight.
-constexpr double kEndpointCalls = 0.5;   // for one endpoint at most,
-constexpr double kSuspectCalls = 0.125;  // while it is failing or overdue,
-constexpr double kProbeCalls = 0.25;     // and for the probes of all ejected endpoints
-constexpr int kFreeCalls = 3;            // calls in flight that need no served rate to justify them
-constexpr double kHeadroom = 3;          // times the calls in flight that the served rate explains
-constexpr double kTimeoutLatencies = 8;
-constexpr double kRepeatableObjectives =
-    2.5;  // least time-out of repeatable messages, in latency objectives,
-constexpr double kUnrepeatableObjectives = 5;  // and of the others, which a time-out loses
-constexpr double kOtherZoneCost = 0.02;        // seconds
-constexpr double kSlowStartCost = 2;           // factor
-constexpr double kCostJitter = 0.1;
-constexpr double kCapGrowthGap = 2;       // seconds between steps of a concurrency cap
-constexpr double kSparedConnections = 8;  // idle connections of all relays that an endpoint can spare
-constexpr double kLongUseGap = 2.5;       // in idle time-outs: a connection is hardly used again
-constexpr double kCrowdedTime = 30;  // seconds for which it is taken to be crowded after a failed connect
-
+/// The largest fraction of max_calls_in_flight that one endpoint may hold.
+constexpr double kMaxEndpointCallFraction = 0.5;
+/// The same fraction for an endpoint that is failing or has overdue calls.
+constexpr double kMaxSuspectCallFraction = 0.125;
+/// The largest fraction of max_calls_in_flight that the calls to all endpoints on probation may hold.
+constexpr double kMaxProbeCallFraction = 0.25;
+/// Calls in flight that an endpoint may have whatever its rate of served calls.
+constexpr int kBaseConcurrency = 3;
+/// Factor on the calls in flight that the rate of served calls accounts for.
+constexpr double kConcurrencyHeadroomFactor = 3;
+/// The timeout of a call, in recent latencies of its endpoint.
+constexpr double kTimeoutLatencyMultiple = 8;
+/// The shortest timeout for messages that may be repeated, in latency objectives.
+constexpr double kRepeatableMinTimeoutMultiple = 2.5;
+/// The shortest timeout for the other messages, in latency objectives. It is longer because a timeout loses
+/// them.
+constexpr double kUnrepeatableMinTimeoutMultiple = 5;
+/// Cost of a call to another zone, in seconds.
+constexpr double kCrossZoneCost = 0.02;
+/// Factor on the cost of a call to an endpoint in slow start.
+constexpr double kSlowStartCostFactor = 2;
+/// The largest random increase of the cost of a call, as a fraction of the cost.
+constexpr double kCostJitterFraction = 0.1;
+/// The shortest time, in seconds, between two increments of the estimated connection limit of an endpoint.
+constexpr double kConnectionLimitStepInterval = 2;
+/// Idle connections, counted over all relays, that an endpoint is assumed to have room for.
+constexpr double kAssumedIdleConnectionCapacity = 8;
+/// The mean use gap, in idle timeouts of connections, above which a connection is hardly ever used again.
+constexpr double kLongUseGapMultiple = 2.5;
+/// Seconds after a failed connect during which the connection table of an endpoint is assumed to be full.
+constexpr double kConnectionTableFullPeriod = 30;
+
+// Returns the number of calls in flight to endpoints on probation.
 int probes_in_flight(const CallTable& calls) {
   int count = 0;
   for (const auto& [id, call] : calls)
@@ -32,22 +47,23 @@
   return count;
 }
 
-// The expected wait there, with its fee and distance.
-double cost(const Settings& settings, const EndpointState& endpoint) {
+// Returns the cost of a call to the endpoint: the expected wait in seconds, raised by the surcharge of its
+// zone and by the cost of leaving this relay's zone.
+double call_cost(const Settings& settings, const EndpointState& endpoint) {
   const auto zone = static_cast<std::size_t>(endpoint.info.zone);
-  const bool has_fee = endpoint.is_independent && zone < settings.zone_surcharges.size();
-  const double fee = has_fee ? settings.zone_surcharges[zone] : 0;
+  const bool has_surcharge = endpoint.is_independent && zone < settings.zone_surcharges.size();
+  const double surcharge = has_surcharge ? settings.zone_surcharges[zone] : 0;
   const double load =
       static_cast<double>(endpoint.calls.size()) + 1 + endpoint.health.record().consecutive_failures;
-  const double warm_up = endpoint.health.is_in_slow_start() ? kSlowStartCost : 1;
-  const double distance = endpoint.info.zone == settings.zone ? 0 : kOtherZoneCost;
-  return load * endpoint.latency.recent() * warm_up * (1 + fee) + distance;
+  const double slow_start_factor = endpoint.health.is_in_slow_start() ? kSlowStartCostFactor : 1;
+  const double zone_cost = endpoint.info.zone == settings.zone ? 0 : kCrossZoneCost;
+  return load * endpoint.latency.recent() * slow_start_factor * (1 + surcharge) + zone_cost;
 }
 
 }  // namespace
 
-// Returns the cheapest endpoint that may be sent the message now; where there is none, null, and the round
-// wakes up when one may be.
+// Returns the endpoint with the lowest cost among those that the message may be sent to now. If there is
+// none, returns null and requests a round for the time at which there is one.
 EndpointState* Dispatcher::State::select_endpoint(const Message& message) {
   EndpointState* best = nullptr;
   double best_cost = 0;
@@ -58,9 +74,10 @@
       earliest = std::min(earliest, ready);
       continue;
     }
+    // Joining a call of this round is preferred: -1 is less than any cost.
     const bool joins_call = has_room_in_batch(*endpoint);
     const double endpoint_cost =
-        joins_call ? -1 : cost(settings, *endpoint) * (1 + kCostJitter * round.uniform());
+        joins_call ? -1 : call_cost(settings, *endpoint) * (1 + kCostJitterFraction * round.uniform());
     if (best != nullptr && endpoint_cost >= best_cost) continue;
     best = endpoint;
     best_cost = endpoint_cost;
@@ -69,8 +86,8 @@
   return best;
 }
 
-// Every send passes here. Returns when the endpoint may be sent the message: now, later, or kNever where that
-// does not depend on time alone.
+// Returns when the message may be sent to the endpoint: now, later, or kNever if that does not depend on time
+// alone. Every send passes this check.
 Time Dispatcher::State::earliest_send_time(const Message& message, EndpointState& endpoint) {
   const Time now = round.now();
   const ClassSettings& message_class = *message.message_class;
@@ -88,7 +105,8 @@
   const Time pacer_ready = low_rate_pacer.token_ready_at(round, limiter, message.attempts_made);
   const Time ready = std::max({health_ready, limiter_ready, pacer_ready});
   if (ready > now) return ready;
-  // A probe request that may be lost is no place for a message that can't be repeated.
+  // A message that must not be repeated is not sent as a probe that may be lost, unless its objective has
+  // passed.
   if (endpoint.health.is_ejected() && message_class.idempotency == Idempotency::none &&
       endpoint.health.record().last_failure_may_have_run && now < message.full_value_until)
     return message.full_value_until;
@@ -102,18 +120,21 @@
          call->message_count < endpoint.adaptive_batch_size;
 }
 
-// Bulkhead: bounds one endpoint's calls in flight, so that a silent or slow one can't hold those of the
-// others.
+// Returns how many calls may be in flight to the endpoint. Each endpoint is a bulkhead: a silent or slow one
+// must not occupy the calls that the others need.
 int Dispatcher::State::max_calls_in_flight(EndpointState& endpoint) {
-  const int all = settings.max_calls_in_flight;
-  // Probes are spaced; all of them in flight together may hold a part only.
+  const int max_calls = settings.max_calls_in_flight;
+  // Probes are limited in their rate. Here only their total number is limited, to a fraction of all calls.
   if (endpoint.health.is_on_probation())
-    return probes_in_flight(calls) < std::max(1.0, kProbeCalls * all) ? all : 0;
+    return probes_in_flight(calls) < std::max(1.0, kMaxProbeCallFraction * max_calls) ? max_calls : 0;
   const bool suspect =
       outlier_detector.overdue_calls(endpoint) > 0 || endpoint.health.record().consecutive_failures > 0;
-  const double most = std::max(1.0, suspect ? all * kSuspectCalls : std::ceil(all * kEndpointCalls));
-  const double explained = kHeadroom * endpoint.served_calls.rate(round.now()) * endpoint.latency.recent();
-  double limit = std::min(most, kFreeCalls + explained);
+  const double bulkhead = std::max(
+      1.0, suspect ? max_calls * kMaxSuspectCallFraction : std::ceil(max_calls * kMaxEndpointCallFraction));
+  // Little's law: the mean number of calls in flight is their rate multiplied by their latency.
+  const double justified =
+      kConcurrencyHeadroomFactor * endpoint.served_calls.rate(round.now()) * endpoint.latency.recent();
+  double limit = std::min(bulkhead, kBaseConcurrency + justified);
   if (endpoint.connection_limit_estimate > 0)
     limit = std::min<double>(limit, endpoint.connection_limit_estimate);
   return std::max(1, static_cast<int>(limit));
@@ -128,20 +149,22 @@
 void Dispatcher::State::raise_limits(EndpointState& endpoint) {
   endpoint.adaptive_batch_size = std::min(endpoint.adaptive_batch_size + 1, endpoint.max_batch_size);
   if (endpoint.connection_limit_estimate == 0) return;
-  if (round.now() - endpoint.connection_limit_changed_at <= micros(kCapGrowthGap)) return;
+  if (round.now() - endpoint.connection_limit_changed_at <= micros(kConnectionLimitStepInterval)) return;
   endpoint.connection_limit_estimate++;
   endpoint.connection_limit_changed_at = round.now();
 }
 
-// A call's messages share its fate: failing calls take fewer along. Guards against whole batches lost to a
-// doubtful endpoint, and against one that fails on large batches only. Not where the failure may be isolated:
-// under a limit of calls, small batches would starve the other messages.
+// Halves the batch size after a failed call, as all messages of a call fail together. Guards against losing
+// whole batches to an unreliable endpoint, and against an endpoint that fails on large batches only. The
+// batch size stays as it is if the failure may be an isolated one: calls are limited, and with small batches
+// the other messages would starve.
 void Dispatcher::State::reduce_batch_size(EndpointState& endpoint, Outcome outcome, int message_count) {
   if (outcome == Outcome::connect_failed || outlier_detector.may_be_isolated(endpoint)) return;
   endpoint.adaptive_batch_size = std::max(1, std::min(endpoint.adaptive_batch_size, message_count) / 2);
 }
 
-// Connects that fail while calls in flight are answered: its table of connections may be full.
+// Takes the current concurrency as the endpoint's connection limit if a connect fails while the calls in
+// flight are being answered: the endpoint's connection table may be full.
 void Dispatcher::State::estimate_connection_limit(EndpointState& endpoint, Outcome outcome) {
   if (outcome != Outcome::connect_failed) return;
   endpoint.last_connect_failure_at = round.now();
@@ -167,22 +190,27 @@
   if (outlier_detector.overdue_calls(endpoint) > 0) close_idle_connections(endpoint);
 }
 
-// Guards against unrepeatable messages lost in silence: a new connection fails provably, an old one does not.
+// Guards against losing messages that must not be repeated to an endpoint that went silent. If a new
+// connection cannot be established, the message provably was not executed; on an old connection this remains
+// unknown.
 void Dispatcher::State::close_idle_connections(EndpointState& endpoint) {
   if (endpoint.idle_connections_closed) return;
   endpoint.idle_connections_closed = true;
   round.emit(action::CloseIdleConnections{endpoint.info.id});
 }
 
-// Guards against connection tables filled by idle connections of many relays: one that will hardly be used
-// again before its end is closed once its call is over, where a connect failed sooner. All are not: in a
-// large fleet nearly each call would cost a handshake.
+// Closes the idle connections of endpoints whose calls ended in this round, if they will hardly be used again
+// before the idle timeout. After a failed connect, shorter use gaps suffice. Guards against connection tables
+// that the idle connections of many relays fill up. Connections that are used more often stay open, as
+// otherwise nearly every call in a large fleet would cost a handshake.
 void Dispatcher::State::close_unused_connections() {
   for (const EndpointId& id : endpoints_with_ended_calls) {
     const EndpointState& endpoint = directory.at(id);
-    const bool crowded = round.now() < endpoint.last_connect_failure_at + micros(kCrowdedTime);
-    const double gaps = std::max(kSparedConnections / settings.relay_count, crowded ? 0 : kLongUseGap);
-    if (endpoint.use_gap.mean() > seconds(settings.connection_idle_timeout) * gaps)
+    const bool table_full =
+        round.now() < endpoint.last_connect_failure_at + micros(kConnectionTableFullPeriod);
+    const double max_gap_multiple =
+        std::max(kAssumedIdleConnectionCapacity / settings.relay_count, table_full ? 0 : kLongUseGapMultiple);
+    if (endpoint.use_gap.mean() > seconds(settings.connection_idle_timeout) * max_gap_multiple)
       round.emit(action::CloseIdleConnections{id});
   }
   endpoints_with_ended_calls.clear();
@@ -190,9 +218,9 @@
 
 Time Dispatcher::State::call_timeout(const Message& message, const EndpointState& endpoint) const {
   const bool repeatable = message.message_class->idempotency != Idempotency::none;
-  const double least = seconds(message.message_class->latency_objective) *
-                       (repeatable ? kRepeatableObjectives : kUnrepeatableObjectives);
-  const double timeout = std::max(least, kTimeoutLatencies * endpoint.latency.recent());
+  const double min_timeout = seconds(message.message_class->latency_objective) *
+                             (repeatable ? kRepeatableMinTimeoutMultiple : kUnrepeatableMinTimeoutMultiple);
+  const double timeout = std::max(min_timeout, kTimeoutLatencyMultiple * endpoint.latency.recent());
   return std::min(micros(timeout), message.deadline - round.now());
 }
 
