--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -98,7 +98,7 @@
 
 void Dispatcher::State::add_or_update(const Endpoint& info) {
   const auto [endpoint, is_new] = directory.update(info);
-  directory.scope_of(endpoint).limiter.start_from_weight(round, info.weight);
+  directory.scope_of(endpoint).limiter.initialize_from_weight(round, info.weight);
   if (!is_new) return;
   start_estimates(endpoint);
   outlier_detector.on_added(endpoint);
@@ -149,7 +149,8 @@
 
 void Dispatcher::State::record_outcome(EndpointState& endpoint, Call& call,
                                        const event::AttemptEnded& attempt) {
-  directory.scope_of(endpoint).limiter.notify(round, attempt.load_report.rate_limit, attempt.retry_after);
+  directory.scope_of(endpoint).limiter.on_limits_reported(round, attempt.load_report.rate_limit,
+                                                          attempt.retry_after);
   if (call.outcome_recorded || !tells_of_endpoint(attempt, call)) return;
   call.outcome_recorded = true;
   if (attempt.outcome == Outcome::succeeded)
--- a/src/endpoint_health.cpp
+++ b/src/endpoint_health.cpp
@@ -191,7 +191,7 @@
 
 void OutlierDetector::on_rejected(EndpointState& endpoint) {
   endpoint.health.on_rejected();
-  const bool shut = directory_.scope_of(endpoint).limiter.rejects_everything(round_);
+  const bool shut = directory_.scope_of(endpoint).limiter.rejects_all_calls(round_);
   if (!shut && endpoint.health.is_healthy()) return;
   endpoint.health.count_as_failing();
   if (endpoint.independent_route) {
--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -80,7 +80,7 @@
   if (key_is_zonal && message.possible_execution_zone.value_or(endpoint.info.zone) != endpoint.info.zone)
     return kNever;
   RateLimiter& limiter = directory.scope_of(endpoint).limiter;
-  if (limiter.held_until() > now) return limiter.held_until();
+  if (limiter.blocked_until() > now) return limiter.blocked_until();
   if (has_room_in_batch(endpoint)) return now;
   if (calls.size() >= static_cast<std::size_t>(settings.max_calls_in_flight)) return kNever;
   const Time health_ready = endpoint.health.call_ready_at(round, endpoint.info.id);
--- a/src/learned_records.hpp
+++ b/src/learned_records.hpp
@@ -1,5 +1,5 @@
-// What the parts learn and a relay's next incarnation takes over: plain records. The order in which fields
-// are visited is the order in which they are stored.
+// Records of what a relay has learned and hands over to the next process: plain data. The order in which the
+// fields are visited is the order in which they are stored.
 #pragma once
 
 #include <limits>
@@ -11,25 +11,27 @@
 
 namespace dispatch {
 
+/// Stands for a rate or a factor without a limit.
 inline constexpr double kUnlimited = std::numeric_limits<double>::infinity();
 
-/// Of RateLimiter.
+/// The state of a RateLimiter.
 struct RateLimiterRecord {
-  explicit RateLimiterRecord(double served_rate_memory) : served(served_rate_memory) {}
+  explicit RateLimiterRecord(double served_rate_time_constant) : served(served_rate_time_constant) {}
 
-  double rate = kUnlimited;  // calls a second of this relay
+  double rate = kUnlimited;  // calls per second of this relay
   TokenBucket bucket{1};
-  Time rate_reduced_at = -kNever;
-  Time rate_raised_at = 0;
+  Time rate_reduced_at = -kNever;  // by a rejection
+  Time rate_raised_at = 0;         // up to when the growth of the rate is accounted for
   Time retry_after_until = 0;
-  RateEstimator served;
-  int rejections = 0;                // since the last served call
-  double admission_probability = 1;  // as of admission_reduced_at
-  Time admission_reduced_at = -kNever;
-  Time gossiped_at = -kNever;  // the last gossip of it, sent or received
-  Time admission_held_until = 0;
-  Time first_rejection_at = 0;  // the first of `rejections`
-  double notified_limit = 0;    // calls a second of all relays; 0: not notified
+  RateEstimator served;                 // served calls
+  int consecutive_rejections = 0;       // since the last served call
+  double admission_probability = 1;     // as of admission_reduced_at
+  Time admission_reduced_at = -kNever;  // by a rejection
+  Time last_gossip_at = -kNever;        // last gossip on this limit, sent or received
+  Time admission_paused_until = 0;
+  Time first_rejection_at = 0;  // of the consecutive rejections
+  // Calls per second over all relays. Until an answer reports it, taken from the weight; 0: unknown.
+  double reported_limit = 0;
 
   template <class Visitor>
   void visit_learned_fields(Visitor&& visit) {
@@ -38,25 +40,25 @@
     bucket.visit_refilled_at(visit);
     visit_fields(visit, rate_reduced_at, rate_raised_at, retry_after_until);
     served.visit_learned_fields(visit);
-    visit_fields(visit, rejections, admission_probability, admission_reduced_at, gossiped_at);
-    visit_fields(visit, admission_held_until, first_rejection_at, notified_limit);
+    visit_fields(visit, consecutive_rejections, admission_probability, admission_reduced_at, last_gossip_at);
+    visit_fields(visit, admission_paused_until, first_rejection_at, reported_limit);
   }
 };
 
-/// Of LowRatePacer.
+/// The state of a LowRatePacer.
 struct LowRatePacerRecord {
-  explicit LowRatePacerRecord(double demand_memory) : demand(demand_memory) {}
+  explicit LowRatePacerRecord(double demand_time_constant) : demand(demand_time_constant) {}
 
-  double demand_factor = kUnlimited;  // calls for each call of demand
+  double demand_factor = kUnlimited;  // ratio of the allowed rate to the demand
   TokenBucket bucket{1};
-  double rejected_share = 0;  // of recent calls
-  RateEstimator demand;
+  double rejected_fraction = 0;  // of recent calls
+  RateEstimator demand;          // arriving messages
 
   template <class Visitor>
   void visit_learned_fields(Visitor&& visit) {
     visit(demand_factor);
     bucket.visit_tokens(visit);
-    visit(rejected_share);
+    visit(rejected_fraction);
     bucket.visit_refilled_at(visit);
     demand.visit_learned_fields(visit);
   }
