--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -190,7 +190,7 @@
   endpoint.health.on_failed(attempt.outcome);
   on_unanswered(endpoint, attempt);
   shrink_batch(endpoint, attempt.outcome, message_count);
-  outlier_detector.eject_failing(endpoint, attempt);
+  outlier_detector.eject_if_failing(endpoint, attempt);
 }
 
 void Dispatcher::State::send(Message& message, EndpointState& endpoint) {
--- a/src/endpoint_directory.hpp
+++ b/src/endpoint_directory.hpp
@@ -75,7 +75,7 @@
     if (!std::exchange(changed_, false)) return;
     const auto is_unused = [&round](const EndpointState& endpoint) {
       return endpoint.info.status == EndpointStatus::removed && endpoint.calls.empty() &&
-             !endpoint.health.remembers_outage(round) &&
+             !endpoint.health.has_recent_outage(round) &&
              endpoint.own_scope.limiter.retry_after_until() <= round.now();
     };
     bool destinations_removed = false;
--- a/src/endpoint_health.hpp
+++ b/src/endpoint_health.hpp
@@ -1,5 +1,5 @@
-// Which failures eject an endpoint from ordinary traffic (outlier detection), and how much of it an endpoint
-// gets while it returns (slow start).
+// Outlier detection, which ejects failing endpoints from ordinary traffic, and slow start, which limits the
+// traffic of endpoints that recover.
 #pragma once
 
 #include <algorithm>
@@ -15,36 +15,45 @@
 class CallTable;
 class EndpointDirectory;
 
-inline constexpr double kOverdueLatencies = 4;  // a call in flight for so many latencies,
-inline constexpr double kOverdueSlack = 0.3;    // and so many seconds more, is overdue
-
-/// Invariant: a healthy endpoint is not limited here. An ejected one gets single probe requests, one in slow
-/// start a rate that grows with its capacity; both take them from one token bucket. Both states end by
-/// themselves: ejection in slow start, slow start in health.
+/// A call is overdue when it has been in flight for this multiple of the endpoint's recent latency plus
+/// kOverdueSlackSeconds.
+inline constexpr double kOverdueLatencyMultiple = 4;
+inline constexpr double kOverdueSlackSeconds = 0.3;
+
+/// The health of one endpoint.
+///
+/// Invariant: the calls to a healthy endpoint are not limited here. An ejected endpoint gets single probe
+/// requests. An endpoint in slow start gets calls at a rate that grows with its capacity. Both take their
+/// tokens from one bucket. Without failures, both states end after a time: an ejected endpoint enters slow
+/// start, and one in slow start becomes healthy.
 class EndpointHealth {
  public:
   bool is_healthy() const { return record_.state == HealthState::healthy; }
   bool is_ejected() const { return record_.state == HealthState::ejected; }
   bool is_in_slow_start() const { return record_.state == HealthState::slow_start; }
-  /// Not served since its outage began.
-  bool is_on_probation() const { return !is_healthy() && record_.consecutive_failures > 0; }
-  bool remembers_outage(const RoundContext& round) const;
+  /// Whether the endpoint is ejected or in slow start and has not served a call since it last failed.
+  bool is_awaiting_success() const { return !is_healthy() && record_.consecutive_failures > 0; }
+  /// Whether the endpoint is ejected or in slow start and that state has not expired.
+  bool has_recent_outage(const RoundContext& round) const;
   CallKind kind_of_next_call() const;
   const EndpointHealthRecord& record() const { return record_; }
 
   void on_served(RoundContext& round, const EndpointId& id, Time sent_at);
-  void on_rejected() { record_.last_failure_may_have_run = false; }
+  void on_rejected() { record_.last_failure_may_have_executed = false; }
   void on_failed(Outcome outcome);
   void count_failure() { record_.consecutive_failures++; }
-  void count_as_failing() { record_.consecutive_failures = std::max(record_.consecutive_failures, 1); }
+  /// Raises the number of consecutive failures to at least one.
+  void mark_failing() { record_.consecutive_failures = std::max(record_.consecutive_failures, 1); }
 
-  /// Of a healthy endpoint, before it is ejected or starts slowly: what its slow start is computed from, in
-  /// calls a second.
-  void remember_rate(double rate) { record_.expected_rate = rate; }
+  /// Sets the rate, in calls per second, from which the limit in slow start is computed. To be set while the
+  /// endpoint is healthy, before eject() and enter_slow_start().
+  void set_expected_rate(double rate) { record_.expected_rate = rate; }
+  /// Ejects the endpoint; if it is ejected already, the ejection starts anew.
   void eject(RoundContext& round, const EndpointId& id, HealthChangeCause cause, const RetryBackoff& backoff);
-  void start_slowly(RoundContext& round, const EndpointId& id, HealthChangeCause cause);
-  void inherit(RoundContext& round, const EndpointHealth& sibling);
-  /// When the next call may go out; ends states whose time is over.
+  void enter_slow_start(RoundContext& round, const EndpointId& id, HealthChangeCause cause);
+  /// Takes over the state of another endpoint of the destination.
+  void copy_state_from(RoundContext& round, const EndpointHealth& sibling);
+  /// Returns when the next call may be sent. Ends an ejection or a slow start that has expired.
   Time call_ready_at(RoundContext& round, const EndpointId& id);
   void on_call_sent(RoundContext& round, const RetryBackoff& backoff);
 
@@ -57,45 +66,51 @@
   EndpointHealthRecord record_;
 };
 
-/// Invariant: an endpoint is ejected by a run of failures that is too long for chance, by too great a part of
-/// failing calls, by overdue calls, by the failures of those it shares a limit with, or as all calls there
-/// are rejected. Where calls fail now and then, everywhere or at one endpoint, longer runs are needed.
+/// Decides which endpoints to eject.
+///
+/// Invariant: an endpoint is ejected only if its consecutive failures are too many for chance, if too large a
+/// fraction of its calls fails, if too many of its calls are overdue, if the endpoints that share its rate
+/// limit fail, or if all its calls are rejected. Where isolated failures occur, at all endpoints or at this
+/// one, more consecutive failures are required.
 class OutlierDetector {
  public:
   OutlierDetector(RoundContext& round, EndpointDirectory& directory, const CallTable& calls)
       : round_(round), directory_(directory), calls_(calls) {}
 
-  /// Before the endpoint is among its siblings.
+  /// Must be called before the endpoint is added to its siblings.
   void on_added(EndpointState& endpoint);
-  /// Operators let the endpoint serve again: it was restarted meanwhile, and begins as after an outage.
+  /// Operators resumed the endpoint. It enters slow start as after an outage, because it is assumed to have
+  /// been restarted meanwhile.
   void on_resumed(EndpointState& endpoint);
   void on_served(EndpointState& endpoint, Time sent_at);
-  /// After the rate limiter has seen the rejection.
+  /// Must be called after the rate limiter has counted the rejection.
   void on_rejected(EndpointState& endpoint);
-  /// After the endpoint's health has counted the failure.
-  void eject_failing(EndpointState& endpoint, const event::AttemptEnded& attempt);
+  /// Must be called after the endpoint's health has counted the failure.
+  void eject_if_failing(EndpointState& endpoint, const event::AttemptEnded& attempt);
 
-  /// Whether the last failure may be an isolated one, of an endpoint that serves on.
-  bool may_be_isolated(const EndpointState& endpoint) const;
-  int overdue_calls(const EndpointState& endpoint) const;
+  /// Whether the last failure may be an isolated one of an endpoint that otherwise serves its calls.
+  bool last_failure_may_be_isolated(const EndpointState& endpoint) const;
+  /// Returns the number of overdue calls that were sent since the endpoint last served a call.
+  int overdue_call_count(const EndpointState& endpoint) const;
 
   template <class Visitor>
   void visit_learned_fields(Visitor&& visit) {
-    visit(isolated_failure_share_);
+    visit(isolated_failure_fraction_);
   }
 
  private:
-  void remember_rate(EndpointState& endpoint);
+  void update_expected_rate(EndpointState& endpoint);
   void eject(EndpointState& endpoint, HealthChangeCause cause);
   void eject_siblings(EndpointState& endpoint, Time failed_call_sent_at);
-  double isolated_failure_share(const EndpointState& endpoint) const;
-  int failures_beyond_chance(const EndpointState& endpoint) const;
-  int failures_of_own_calls(EndpointState& endpoint) const;
+  double isolated_failure_fraction(const EndpointState& endpoint) const;
+  int significant_failure_count(const EndpointState& endpoint) const;
+  int required_failure_count(EndpointState& endpoint) const;
 
   RoundContext& round_;
   EndpointDirectory& directory_;
   const CallTable& calls_;
-  double isolated_failure_share_ = 0;  // of all calls: failures at endpoints that serve on
+  // Isolated failures as a fraction of the recent calls of all endpoints.
+  double isolated_failure_fraction_ = 0;
 };
 
 }  // namespace dispatch
--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -28,7 +28,7 @@
 int probes_in_flight(const CallTable& calls) {
   int count = 0;
   for (const auto& [id, call] : calls)
-    if (call.endpoint->health.is_on_probation()) count++;
+    if (call.endpoint->health.is_awaiting_success()) count++;
   return count;
 }
 
@@ -90,7 +90,7 @@
   if (ready > now) return ready;
   // A probe request that may be lost is no place for a message that can't be repeated.
   if (endpoint.health.is_ejected() && message_class.idempotency == Idempotency::none &&
-      endpoint.health.record().last_failure_may_have_run && now < message.objective)
+      endpoint.health.record().last_failure_may_have_executed && now < message.objective)
     return message.objective;
   return static_cast<int>(endpoint.calls.size()) < max_calls(endpoint) ? now : kNever;
 }
@@ -106,10 +106,10 @@
 int Dispatcher::State::max_calls(EndpointState& endpoint) {
   const int all = settings.max_calls_in_flight;
   // Probes are spaced; all of them in flight together may hold a part only.
-  if (endpoint.health.is_on_probation())
+  if (endpoint.health.is_awaiting_success())
     return probes_in_flight(calls) < std::max(1.0, kProbeCalls * all) ? all : 0;
   const bool suspect =
-      outlier_detector.overdue_calls(endpoint) > 0 || endpoint.health.record().consecutive_failures > 0;
+      outlier_detector.overdue_call_count(endpoint) > 0 || endpoint.health.record().consecutive_failures > 0;
   const double most = std::max(1.0, suspect ? all * kSuspectCalls : std::ceil(all * kEndpointCalls));
   const double explained = kHeadroom * endpoint.served.rate(round.now()) * endpoint.latency.recent();
   double limit = std::min(most, kFreeCalls + explained);
@@ -135,7 +135,7 @@
 // doubtful endpoint, and against one that fails on large batches only. Not where the failure may be isolated:
 // under a limit of calls, small batches would starve the other messages.
 void Dispatcher::State::shrink_batch(EndpointState& endpoint, Outcome outcome, int message_count) {
-  if (outcome == Outcome::connect_failed || outlier_detector.may_be_isolated(endpoint)) return;
+  if (outcome == Outcome::connect_failed || outlier_detector.last_failure_may_be_isolated(endpoint)) return;
   endpoint.batch_size = std::max(1, std::min(endpoint.batch_size, message_count) / 2);
 }
 
@@ -144,7 +144,7 @@
   if (outcome != Outcome::connect_failed) return;
   endpoint.last_connect_failure_at = round.now();
   if (!endpoint.health.is_healthy() || endpoint.health.record().consecutive_failures > 0) return;
-  if (endpoint.calls.empty() || outlier_detector.overdue_calls(endpoint) > 0) return;
+  if (endpoint.calls.empty() || outlier_detector.overdue_call_count(endpoint) > 0) return;
   endpoint.concurrency_cap = static_cast<int>(endpoint.calls.size());
   endpoint.concurrency_cap_changed_at = round.now();
 }
@@ -162,7 +162,7 @@
   scope.limiter.take_token();
   low_rate_pacer.take_token(round, scope.limiter);
   endpoint.health.on_call_sent(round, scope.backoff);
-  if (outlier_detector.overdue_calls(endpoint) > 0) close_idle_connections(endpoint);
+  if (outlier_detector.overdue_call_count(endpoint) > 0) close_idle_connections(endpoint);
 }
 
 // Guards against unrepeatable messages lost in silence: a new connection fails provably, an old one does not.
--- a/src/health_log.hpp
+++ b/src/health_log.hpp
@@ -1,4 +1,4 @@
-// Log lines on changes of an endpoint's health.
+// Logs the changes of an endpoint's health.
 #pragma once
 
 #include <array>
@@ -10,14 +10,15 @@
 
 namespace dispatch {
 
+/// The cause of a change, which is logged under the name of its enumerator.
 enum class HealthChangeCause {
-  // ejected
+  // Causes of an ejection.
   connect_failed,
   errors,
   no_answer,
   all_rejected,
   sibling_failures,
-  // in slow start or healthy again
+  // Causes of a change to slow start or to health.
   ejection_expired,
   probe_succeeded,
   late_answer,
@@ -25,14 +26,16 @@
   slow_start_complete
 };
 
-/// The cause that a failed call is for an ejection.
+/// Returns the cause of an ejection for the outcome of a failed call.
 inline HealthChangeCause cause_of(Outcome outcome) {
   if (outcome == Outcome::connect_failed) return HealthChangeCause::connect_failed;
   return outcome == Outcome::error ? HealthChangeCause::errors : HealthChangeCause::no_answer;
 }
 
+/// Logs that the endpoint changed to `state`.
 inline void log_health_change(RoundContext& round, HealthState state, const EndpointId& id,
                               HealthChangeCause cause) {
+  // Indexed by HealthState and by HealthChangeCause.
   static constexpr std::array kEvents = {"endpoint_healthy", "endpoint_ejected", "endpoint_slow_start"};
   static constexpr std::array kCauses = {
       "connect_failed",   "errors",          "no_answer",   "all_rejected",     "sibling_failures",
--- a/src/learned_records.hpp
+++ b/src/learned_records.hpp
@@ -64,33 +64,34 @@
   }
 };
 
-/// Stored by their positions.
+/// Stored as the index of the enumerator, so the order is part of the format.
 enum class HealthState { healthy, ejected, slow_start };
 
-/// Of EndpointHealth; stored in two pieces.
+/// The state of an EndpointHealth. Its fields are stored in two groups.
 struct EndpointHealthRecord {
-  double failure_share = 0;  // of recent calls
-  int consecutive_failures = 0;
-  int isolated_failures = 0;          // resets and errors among the consecutive failures
-  double isolated_failure_share = 0;  // of recent calls: such failures while it serves on
-  Time served_at = 0;
-  Time newest_served_send = 0;  // the newest send among the served calls
-  bool last_failure_may_have_run = false;
+  double failure_fraction = 0;   // failures as a fraction of recent calls
+  int consecutive_failures = 0;  // since the last served call
+  int isolated_failures = 0;     // resets and errors among the consecutive failures
+  // Resets and errors before a call that was served again, as a fraction of recent calls.
+  double isolated_failure_fraction = 0;
+  Time last_served_at = 0;         // when the last served call ended
+  Time latest_served_sent_at = 0;  // latest time at which a served call was sent
+  bool last_failure_may_have_executed = false;
 
   HealthState state = HealthState::healthy;
-  double expected_rate = 0;  // calls a second before the outage
-  Time changed_at = 0;       // when the state began
-  TokenBucket bucket{0};     // for calls while ejected or in slow start
+  double expected_rate = 0;   // calls per second before the outage
+  Time state_started_at = 0;  // from when the duration of the state counts
+  TokenBucket bucket{0};      // for calls while ejected or in slow start
   Time next_probe_at = 0;
 
   template <class Visitor>
   void visit_failure_fields(Visitor&& visit) {
-    visit_fields(visit, failure_share, consecutive_failures, isolated_failures, isolated_failure_share);
-    visit_fields(visit, served_at, newest_served_send, last_failure_may_have_run);
+    visit_fields(visit, failure_fraction, consecutive_failures, isolated_failures, isolated_failure_fraction);
+    visit_fields(visit, last_served_at, latest_served_sent_at, last_failure_may_have_executed);
   }
   template <class Visitor>
   void visit_state_fields(Visitor&& visit) {
-    visit_fields(visit, state, expected_rate, changed_at);
+    visit_fields(visit, state, expected_rate, state_started_at);
     bucket.visit_tokens(visit);
     bucket.visit_refilled_at(visit);
     visit(next_probe_at);
--- a/src/message_delivery.cpp
+++ b/src/message_delivery.cpp
@@ -119,7 +119,8 @@
 // A call that was cancelled in silence is a failure; one that was overtaken says nothing of its endpoint.
 bool Dispatcher::State::tells_of_endpoint(const event::AttemptEnded& attempt, const Call& call) const {
   if (attempt.outcome == Outcome::not_sent) return false;
-  return attempt.outcome != Outcome::cancelled || call.sent_at >= call.endpoint->health.record().served_at;
+  return attempt.outcome != Outcome::cancelled ||
+         call.sent_at >= call.endpoint->health.record().last_served_at;
 }
 
 void Dispatcher::State::after_attempt(Message& message, EndpointState& endpoint, Time sent_at,
@@ -185,12 +186,13 @@
   const Call& call = calls.at(call_id);
   const EndpointState& endpoint = *call.endpoint;
   const bool exhausted = slots == CallSlots::exhausted;
-  const bool overtaken = call.sent_at < endpoint.health.record().newest_served_send;
-  const bool silent = call.sent_at >= endpoint.health.record().served_at;  // else it is slow, but at work
+  const bool overtaken = call.sent_at < endpoint.health.record().latest_served_sent_at;
+  const bool silent =
+      call.sent_at >= endpoint.health.record().last_served_at;  // else it is slow, but at work
   if (message.cancelled_attempt == attempt || !(overtaken || (exhausted && silent))) return;
   const double objective = seconds(message.message_class->latency_objective);
-  const double latencies = exhausted ? kOverdueLatencies : kCancelLatencies;
-  double after = latencies * endpoint.latency.recent() + kOverdueSlack;
+  const double latencies = exhausted ? kOverdueLatencyMultiple : kCancelLatencies;
+  double after = latencies * endpoint.latency.recent() + kOverdueSlackSeconds;
   // Later it has less weight; but where all destinations answer slowly, patience is cheaper than cancelling.
   if (exhausted) after = std::min(after, objective) * std::max(1.0, relative_latency);
   const Time due = call.sent_at + micros(std::max(is_repeatable(message) ? 0 : objective, after));
