--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -119,7 +119,7 @@
 
 void Dispatcher::State::start_estimates(EndpointState& endpoint) {
   endpoint.batch_size = endpoint.max_batch_size;
-  endpoint.use_gap.start(seconds(settings.connection_idle_timeout) * kInitialUseGap);
+  endpoint.use_gap.set_initial_mean(seconds(settings.connection_idle_timeout) * kInitialUseGap);
   endpoint.demand.start(round.now());
 }
 
--- a/src/latency_estimator.hpp
+++ b/src/latency_estimator.hpp
@@ -1,4 +1,4 @@
-// The latency of an endpoint, as averages that forget.
+// Estimates the latency of an endpoint by exponentially weighted moving averages.
 #pragma once
 
 #include <algorithm>
@@ -7,25 +7,27 @@
 
 namespace dispatch {
 
-/// How an average follows its input.
+/// The parameters of a LatencyEstimator.
 struct LatencyEstimatorParameters {
-  double initial;       // seconds; assumed before the first answer
-  double recent_gain;   // weight of the newest answer in the recent latency,
-  double typical_gain;  // and in the typical one
-  double max_relative;  // one answer counts as no more typical latencies than this;
-  double min_typical;   // for which no typical latency counts as less than this, in seconds
+  double initial;       ///< recent latency before the first answer, in seconds
+  double recent_gain;   ///< weight of the newest answer in the recent latency
+  double typical_gain;  ///< weight of the newest answer in the typical latency
+  double max_relative;  ///< upper bound of add_answer()'s result, in typical latencies
+  double min_typical;   ///< lower bound of the typical latency to which answers are compared, in seconds
 };
 
-/// Latencies in seconds. The recent one follows answers, and calls without an answer lengthen it; the typical
-/// one follows answers slowly.
+/// Estimates a recent and a typical latency, in seconds. The recent latency follows the answers and rises on
+/// calls without an answer. The typical latency follows the answers slowly.
 class LatencyEstimator {
  public:
-  /// The parameters must outlive it; endpoints are many, and all share one set.
+  /// The parameters must outlive the estimator. They are referenced, not copied, because there are many
+  /// endpoints and all share one set.
   explicit LatencyEstimator(const LatencyEstimatorParameters& parameters)
       : parameters_(&parameters), recent_(parameters.initial) {}
 
   double recent() const { return recent_; }
-  /// Returns the latency in typical ones, as they were before it.
+  /// Returns the ratio of `latency` to the typical latency before this answer, at most
+  /// LatencyEstimatorParameters::max_relative.
   double add_answer(double latency) {
     recent_ += parameters_->recent_gain * (latency - recent_);
     if (typical_ == 0) typical_ = latency;
@@ -34,7 +36,8 @@
     typical_ += parameters_->typical_gain * (latency - typical_);
     return relative;
   }
-  /// A call was given up after that time: the recent latency is at least as long, but at most doubles.
+  /// A call was abandoned after `waited` seconds. Raises the recent latency to this time, but at most doubles
+  /// it.
   void add_unanswered(double waited) { recent_ = std::max(recent_, std::min(recent_ * 2, waited)); }
 
   template <class Visitor>
@@ -45,7 +48,7 @@
  private:
   const LatencyEstimatorParameters* parameters_;
   double recent_;
-  double typical_ = 0;
+  double typical_ = 0;  // 0: no answer yet
 };
 
 }  // namespace dispatch
--- a/src/learned_state.cpp
+++ b/src/learned_state.cpp
@@ -21,9 +21,9 @@
   LearnedStateLine line;
   in >> line.name;
   if (line.name == kDestinationLine || line.name == kEndpointLine) in >> line.subject;
-  std::string word;
-  while (in >> word) {
-    const std::optional<double> number = parse_number(word);
+  std::string field;
+  while (in >> field) {
+    const std::optional<double> number = parse_number(field);
     if (!number) return std::nullopt;
     line.fields.push_back(*number);
   }
--- a/src/learned_state.hpp
+++ b/src/learned_state.hpp
@@ -1,8 +1,9 @@
-// The learned state as text, for a relay's next incarnation.
+// The text format of the learned state, which a relay hands over to its next process.
 //
-// The text is a header line, then one line a subject: the line's name, for some lines the subject's, and the
-// fields as decimal numbers that read back to the same double, separated by single spaces. The order of the
-// fields in a line is that in which their owner visits them (visit_learned_fields).
+// The text consists of a header line and one line per subject. Each line has the name of the line, for some
+// lines the name of the subject, and the fields as decimal numbers that read back to the same double, all
+// separated by single spaces. The fields of a line are stored in the order in which visit_learned_fields() of
+// their owner visits them.
 #pragma once
 
 #include <cstddef>
@@ -12,32 +13,33 @@
 
 namespace dispatch {
 
-// Earlier builds wrote these words, and a relay that is upgraded reads what its predecessor wrote: they are a
-// stored format and stay as they are, whatever the code calls the same things.
+// The header and the names of the lines are part of the stored format and must not change, even where the
+// code uses other terms: earlier builds wrote them, and a relay that is upgraded reads the state of its
+// predecessor.
 inline const std::string kLearnedStateHeader = "learnt-2";
-inline const std::string kRelayLine = "relay";              // what was learned of no endpoint in particular
-inline const std::string kLowRateLine = "thin";             // the pace of all low-rate destinations
-inline const std::string kDestinationLine = "destination";  // a destination's rate limit
-inline const std::string kEndpointLine = "endpoint";        // an endpoint
+inline const std::string kRelayLine = "relay";              // state that belongs to no single endpoint
+inline const std::string kLowRateLine = "thin";             // LowRatePacer
+inline const std::string kDestinationLine = "destination";  // backoff and rate limiter of a destination
+inline const std::string kEndpointLine = "endpoint";        // state of an endpoint
 
-/// Calls `visit` with one field after the other.
+/// Calls `visit` with each field in turn.
 template <class Visitor, class... Fields>
 void visit_fields(Visitor&& visit, Fields&... fields) {
   (visit(fields), ...);
 }
 
-/// Builds the text line by line.
+/// Builds the text of a learned state line by line.
 class LearnedStateWriter {
  public:
   LearnedStateWriter() : text_(kLearnedStateHeader + '\n') {}
 
-  /// Adds a line with all fields of `owner`; `name` is one of the names above.
+  /// Adds a line with all fields of `owner`. `name` is one of the names of lines above.
   template <class Owner>
   void add_line(const std::string& name, Owner& owner) {
     text_ += name;
     add_fields(owner);
   }
-  /// The same for a line that names its subject.
+  /// Adds a line with a subject, which must not contain spaces.
   template <class Owner>
   void add_line(const std::string& name, const std::string& subject, Owner& owner) {
     text_ += name;
@@ -58,17 +60,18 @@
   std::string text_;
 };
 
-/// One line as it was read.
+/// One parsed line.
 struct LearnedStateLine {
   std::string name;
-  std::string subject;  // empty for lines without one
+  std::string subject;  ///< empty for lines without a subject
   std::vector<double> fields;
 };
 
-/// The lines of a text; none where its header is another. Lines that can't be read are left out.
+/// Returns the lines of a text, without the lines that cannot be parsed. Returns no lines if the header is
+/// not that of this format.
 std::vector<LearnedStateLine> parse_learned_state(const std::string& text);
 
-/// Sets all fields of `owner`, or none where the line has more or fewer.
+/// Sets all fields of `owner`, or none of them if the line has a different number of fields.
 template <class Owner>
 void restore_fields(const LearnedStateLine& line, Owner& owner) {
   std::size_t count = 0;
