--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -99,7 +99,7 @@
 
 void Dispatcher::State::add_or_update(const Endpoint& info) {
   const auto [endpoint, is_new] = directory.update(info);
-  directory.scope_of(endpoint).limiter.start_from_weight(round, info.weight);
+  directory.scope_of(endpoint).limiter.initialize_from_weight(round, info.weight);
   if (!is_new) return;
   initialize_estimates(endpoint);
   outlier_detector.on_added(endpoint);
@@ -151,7 +151,8 @@
 
 void Dispatcher::State::record_endpoint_outcome(EndpointState& endpoint, Call& call,
                                                 const event::AttemptEnded& attempt) {
-  directory.scope_of(endpoint).limiter.notify(round, attempt.load_report.rate_limit, attempt.retry_after);
+  directory.scope_of(endpoint).limiter.on_limits_reported(round, attempt.load_report.rate_limit,
+                                                          attempt.retry_after);
   if (call.outcome_recorded || !outcome_reflects_endpoint(attempt, call)) return;
   call.outcome_recorded = true;
   if (attempt.outcome == Outcome::succeeded)
@@ -191,7 +192,7 @@
   endpoint.health.on_failed(attempt.outcome);
   on_unanswered(endpoint, attempt);
   reduce_batch_size(endpoint, attempt.outcome, message_count);
-  outlier_detector.eject_failing(endpoint, attempt);
+  outlier_detector.eject_if_failing(endpoint, attempt);
 }
 
 void Dispatcher::State::send(Message& message, EndpointState& endpoint) {
--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -11,7 +11,7 @@
 constexpr double kMaxEndpointCallFraction = 0.5;
 /// The same fraction for an endpoint that is failing or has overdue calls.
 constexpr double kMaxSuspectCallFraction = 0.125;
-/// The largest fraction of max_calls_in_flight that the calls to all endpoints on probation may hold.
+/// The largest fraction of max_calls_in_flight that the calls to all endpoints awaiting a success may hold.
 constexpr double kMaxProbeCallFraction = 0.25;
 /// Calls in flight that an endpoint may have whatever its rate of served calls.
 constexpr int kBaseConcurrency = 3;
@@ -39,11 +39,11 @@
 /// Seconds after a failed connect during which the connection table of an endpoint is assumed to be full.
 constexpr double kConnectionTableFullPeriod = 30;
 
-// Returns the number of calls in flight to endpoints on probation.
+// Returns the number of calls in flight to endpoints awaiting a success.
 int probes_in_flight(const CallTable& calls) {
   int count = 0;
   for (const auto& [id, call] : calls)
-    if (call.endpoint->health.is_on_probation()) count++;
+    if (call.endpoint->health.is_awaiting_success()) count++;
   return count;
 }
 
@@ -97,7 +97,7 @@
   if (key_is_zonal && message.possible_execution_zone.value_or(endpoint.info.zone) != endpoint.info.zone)
     return kNever;
   RateLimiter& limiter = directory.scope_of(endpoint).limiter;
-  if (limiter.held_until() > now) return limiter.held_until();
+  if (limiter.blocked_until() > now) return limiter.blocked_until();
   if (has_room_in_batch(endpoint)) return now;
   if (calls.size() >= static_cast<std::size_t>(settings.max_calls_in_flight)) return kNever;
   const Time health_ready = endpoint.health.call_ready_at(round, endpoint.info.id);
@@ -108,7 +108,7 @@
   // A message that must not be repeated is not sent as a probe that may be lost, unless its objective has
   // passed.
   if (endpoint.health.is_ejected() && message_class.idempotency == Idempotency::none &&
-      endpoint.health.record().last_failure_may_have_run && now < message.full_value_until)
+      endpoint.health.record().last_failure_may_have_executed && now < message.full_value_until)
     return message.full_value_until;
   return static_cast<int>(endpoint.calls.size()) < max_calls_in_flight(endpoint) ? now : kNever;
 }
@@ -125,10 +125,10 @@
 int Dispatcher::State::max_calls_in_flight(EndpointState& endpoint) {
   const int max_calls = settings.max_calls_in_flight;
   // Probes are limited in their rate. Here only their total number is limited, to a fraction of all calls.
-  if (endpoint.health.is_on_probation())
+  if (endpoint.health.is_awaiting_success())
     return probes_in_flight(calls) < std::max(1.0, kMaxProbeCallFraction * max_calls) ? max_calls : 0;
   const bool suspect =
-      outlier_detector.overdue_calls(endpoint) > 0 || endpoint.health.record().consecutive_failures > 0;
+      outlier_detector.overdue_call_count(endpoint) > 0 || endpoint.health.record().consecutive_failures > 0;
   const double bulkhead = std::max(
       1.0, suspect ? max_calls * kMaxSuspectCallFraction : std::ceil(max_calls * kMaxEndpointCallFraction));
   // Little's law: the mean number of calls in flight is their rate multiplied by their latency.
@@ -142,7 +142,7 @@
 
 void Dispatcher::State::initialize_estimates(EndpointState& endpoint) {
   endpoint.adaptive_batch_size = endpoint.max_batch_size;
-  endpoint.use_gap.start(seconds(settings.connection_idle_timeout) * kInitialUseGapFraction);
+  endpoint.use_gap.set_initial_mean(seconds(settings.connection_idle_timeout) * kInitialUseGapFraction);
   endpoint.demand.start(round.now());
 }
 
@@ -159,7 +159,7 @@
 // batch size stays as it is if the failure may be an isolated one: calls are limited, and with small batches
 // the other messages would starve.
 void Dispatcher::State::reduce_batch_size(EndpointState& endpoint, Outcome outcome, int message_count) {
-  if (outcome == Outcome::connect_failed || outlier_detector.may_be_isolated(endpoint)) return;
+  if (outcome == Outcome::connect_failed || outlier_detector.last_failure_may_be_isolated(endpoint)) return;
   endpoint.adaptive_batch_size = std::max(1, std::min(endpoint.adaptive_batch_size, message_count) / 2);
 }
 
@@ -169,7 +169,7 @@
   if (outcome != Outcome::connect_failed) return;
   endpoint.last_connect_failure_at = round.now();
   if (!endpoint.health.is_healthy() || endpoint.health.record().consecutive_failures > 0) return;
-  if (endpoint.calls.empty() || outlier_detector.overdue_calls(endpoint) > 0) return;
+  if (endpoint.calls.empty() || outlier_detector.overdue_call_count(endpoint) > 0) return;
   endpoint.connection_limit_estimate = static_cast<int>(endpoint.calls.size());
   endpoint.connection_limit_changed_at = round.now();
 }
@@ -187,7 +187,7 @@
   scope.limiter.take_token();
   low_rate_pacer.take_token(round, scope.limiter);
   endpoint.health.on_call_sent(round, scope.backoff);
-  if (outlier_detector.overdue_calls(endpoint) > 0) close_idle_connections(endpoint);
+  if (outlier_detector.overdue_call_count(endpoint) > 0) close_idle_connections(endpoint);
 }
 
 // Guards against losing messages that must not be repeated to an endpoint that went silent. If a new
--- a/src/message_delivery.cpp
+++ b/src/message_delivery.cpp
@@ -15,7 +15,7 @@
 /// The fraction of max_open_messages above which the least urgent messages are rejected.
 constexpr double kBufferHighWaterFraction = 0.92;
 /// While call slots are free, an overtaken call is cancelled after this multiple of the endpoint's recent
-/// latency, plus kOverdueSlack.
+/// latency, plus kOverdueSlackSeconds.
 constexpr double kCancelLatencyMultiple = 8;
 /// Messages of a tenant's burst in addition to the quota of kTenantBurstTime.
 constexpr double kTenantBurstMessages = 2;
@@ -137,7 +137,8 @@
 bool Dispatcher::State::outcome_reflects_endpoint(const event::AttemptEnded& attempt,
                                                   const Call& call) const {
   if (attempt.outcome == Outcome::not_sent) return false;
-  return attempt.outcome != Outcome::cancelled || call.sent_at >= call.endpoint->health.record().served_at;
+  return attempt.outcome != Outcome::cancelled ||
+         call.sent_at >= call.endpoint->health.record().last_served_at;
 }
 
 void Dispatcher::State::record_message_outcome(Message& message, EndpointState& endpoint, Time sent_at,
@@ -208,13 +209,13 @@
   const Call& call = calls.at(call_id);
   const EndpointState& endpoint = *call.endpoint;
   const bool exhausted = slots == CallSlots::exhausted;
-  const bool overtaken = call.sent_at < endpoint.health.record().newest_served_send;
+  const bool overtaken = call.sent_at < endpoint.health.record().latest_served_sent_at;
   // Otherwise the endpoint is slow but still serves calls.
-  const bool silent = call.sent_at >= endpoint.health.record().served_at;
+  const bool silent = call.sent_at >= endpoint.health.record().last_served_at;
   if (message.cancelled_attempt == attempt || !(overtaken || (exhausted && silent))) return;
   const double objective = seconds(message.message_class->latency_objective);
-  const double latency_multiple = exhausted ? kOverdueLatencies : kCancelLatencyMultiple;
-  double cancel_after = latency_multiple * endpoint.latency.recent() + kOverdueSlack;
+  const double latency_multiple = exhausted ? kOverdueLatencyMultiple : kCancelLatencyMultiple;
+  double cancel_after = latency_multiple * endpoint.latency.recent() + kOverdueSlackSeconds;
   // After its objective the message loses value. Where all destinations answer slowly, though, waiting longer
   // costs less than cancelling.
   if (exhausted) cancel_after = std::min(cancel_after, objective) * std::max(1.0, relative_latency);
