--- a/relay/connection_pool.cpp
+++ b/relay/connection_pool.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-// What an endpoint sends besides its response comes right behind it. A connection is not reused for so long
-// (microseconds), so that this is not taken for the response to the next request.
-constexpr Time kRestTime = 5'000;
-// Share of the endpoint's idle timeout after which a connection is closed. The remainder covers the transit
-// times of the response that started the endpoint's clock and of the request that would use the connection.
-constexpr double kMaxIdleShare = 0.9;
-
-// Guards against writing to a connection that the endpoint has closed: that would count as a reset.
-bool is_open_and_silent(Connection& connection) {
+// Time in microseconds for which a connection is not reused after a response. Data that an endpoint sends in
+// excess of its response arrives right after it; it must not be taken for the response to the next request.
+constexpr Time kMinIdleBeforeReuse = 5'000;
+// Fraction of the endpoint's idle timeout after which a connection is closed. The remainder covers the
+// network delays of the response after which the endpoint starts its timeout, and of the next request.
+constexpr double kMaxIdleFraction = 0.9;
+
+// Guards against writing to a connection that the endpoint has closed, which would be counted as a reset.
+bool is_open_without_input(Connection& connection) {
   error_code error;
   connection.socket.cancel(error);
   char byte = 0;
@@ -31,7 +31,7 @@
 }  // namespace
 
 ConnectionPool::ConnectionPool(net::io_context& io, Time idle_timeout)
-    : max_idle_time_(static_cast<Time>(kMaxIdleShare * static_cast<double>(idle_timeout))),
+    : max_idle_time_(static_cast<Time>(kMaxIdleFraction * static_cast<double>(idle_timeout))),
       expiry_timer_(io) {}
 
 void ConnectionPool::set_address(const EndpointId& endpoint, const tcp::endpoint& address) {
@@ -56,16 +56,16 @@
   const auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end()) return {};
   auto& idle = found->second.idle;
-  const Time rested_since = steady_now() - kRestTime;
+  const Time reusable_since = steady_now() - kMinIdleBeforeReuse;
   while (!idle.empty()) {
-    const auto rested = std::find_if(idle.rbegin(), idle.rend(), [&](const auto& connection) {
-      return connection->idle_since <= rested_since;
+    const auto reusable = std::find_if(idle.rbegin(), idle.rend(), [&](const auto& connection) {
+      return connection->idle_since <= reusable_since;
     });
-    if (rested == idle.rend()) return {nullptr, idle.front()->idle_since + kRestTime};
-    const auto connection = *rested;
-    idle.erase(std::next(rested).base());
+    if (reusable == idle.rend()) return {nullptr, idle.front()->idle_since + kMinIdleBeforeReuse};
+    const auto connection = *reusable;
+    idle.erase(std::next(reusable).base());
     idle_count_--;
-    if (is_open_and_silent(*connection)) return {connection, std::nullopt};
+    if (is_open_without_input(*connection)) return {connection, std::nullopt};
   }
   return {};
 }
@@ -77,10 +77,11 @@
   found->second.idle.push_back(connection);
   idle_count_++;
   if (idle_count_ == 1) close_expired();
-  watch(connection, endpoint);
+  close_when_readable(connection, endpoint);
 }
 
-void ConnectionPool::watch(const std::shared_ptr<Connection>& connection, const EndpointId& endpoint) {
+void ConnectionPool::close_when_readable(const std::shared_ptr<Connection>& connection,
+                                         const EndpointId& endpoint) {
   connection->socket.async_wait(tcp::socket::wait_read,
                                 [this, weak = std::weak_ptr(connection), endpoint](error_code error) {
                                   const auto readable = weak.lock();
@@ -120,7 +121,7 @@
   return true;
 }
 
-// Closes the connections that have been idle long enough, then waits for the next.
+// Closes the connections that have been idle for the maximum time, then waits for the next one to expire.
 void ConnectionPool::close_expired() {
   const Time now = steady_now();
   Time next_expiry = now + max_idle_time_;
--- a/relay/connection_pool.hpp
+++ b/relay/connection_pool.hpp
@@ -1,4 +1,4 @@
-// Connections to endpoints: where each endpoint is found, and its idle connections, kept for reuse.
+// The addresses of endpoints, and a pool of idle connections to them that are kept for reuse.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,35 +25,37 @@
   Time idle_since = 0;  // steady time, microseconds
 };
 
-// Closes an idle connection before the endpoint would, and when it becomes readable: the endpoint has closed
-// it then, or sent what no request asked for.
+// Closes an idle connection shortly before the endpoint would, and as soon as it becomes readable: the
+// endpoint has then closed it or sent data that no request asked for.
 class ConnectionPool {
  public:
-  // The result of acquire(): a connection; or the time at which an idle one will be available; or neither,
-  // where a new connection is needed.
+  // The result of acquire(): a connection, or the steady time in microseconds at which an idle connection
+  // will become available, or neither if a new connection is needed.
   struct Acquisition {
     std::shared_ptr<Connection> connection;
     std::optional<Time> available_at;
   };
 
-  // Endpoints close connections that were idle for `idle_timeout` microseconds.
+  // `idle_timeout` is the time in microseconds after which endpoints close idle connections.
   ConnectionPool(boost::asio::io_context& io, Time idle_timeout);
 
-  // Sets where an endpoint is found; idle connections to another address are closed.
+  // Sets the address of an endpoint. Idle connections to its previous address are closed.
   void set_address(const EndpointId& endpoint, const boost::asio::ip::tcp::endpoint& address);
+  // Returns nothing for an endpoint without an address.
   std::optional<boost::asio::ip::tcp::endpoint> address_of(const EndpointId& endpoint) const;
   bool contains(const EndpointId& endpoint) const { return endpoints_.contains(endpoint); }
-  // Forgets the endpoint and closes its idle connections.
+  // Removes the address of an endpoint and closes its idle connections.
   void remove(const EndpointId& endpoint);
 
-  // Takes the most recently used of an endpoint's idle connections that can be used.
+  // Takes the most recently used of the endpoint's idle connections that can be reused.
   [[nodiscard]] Acquisition acquire(const EndpointId& endpoint);
-  // Keeps a connection whose call has ended; closes it where the endpoint is gone or found elsewhere by now.
+  // Keeps a connection whose call has ended. Drops it if the endpoint has been removed or has another
+  // address.
   void release(const EndpointId& endpoint, const std::shared_ptr<Connection>& connection);
 
   void close_idle(const EndpointId& endpoint);
   void close_all_idle();
-  // Closes the connection that has been idle longest; false where there is none.
+  // Closes the connection that has been idle longest. Returns false if there is none.
   bool close_longest_idle();
   std::size_t idle_count() const { return idle_count_; }
 
@@ -63,13 +65,13 @@
     std::vector<std::shared_ptr<Connection>> idle;  // most recently used last
   };
 
-  void watch(const std::shared_ptr<Connection>& connection, const EndpointId& endpoint);
+  void close_when_readable(const std::shared_ptr<Connection>& connection, const EndpointId& endpoint);
   void close(const EndpointId& endpoint, const Connection* connection);
   void close_expired();
 
-  Time max_idle_time_;
+  Time max_idle_time_;  // microseconds
   std::map<EndpointId, Endpoint> endpoints_;
-  std::size_t idle_count_ = 0;  // over all endpoints
+  std::size_t idle_count_ = 0;  // of all endpoints together
   boost::asio::steady_timer expiry_timer_;
 };
 
--- a/relay/delivery_call.cpp
+++ b/relay/delivery_call.cpp
@@ -22,17 +22,17 @@
 
 namespace {
 
-// A response that has begun must be complete within this time (microseconds). Guards against calls held until
-// their timeout by headers and bodies that never end.
+// Time in microseconds within which a started response must be complete. Guards against endpoints that send
+// headers or bodies without end, which would hold calls until their timeouts.
 constexpr Time kResponseTimeout = 400'000;
-constexpr Time kNever = 3'600'000'000;  // microseconds; longer than any timeout
+constexpr Time kMaxTimerDelay = 3'600'000'000;  // microseconds, longer than any timeout
 constexpr unsigned kHttpVersion = 11;
 
 std::chrono::microseconds time_until(Time when) {
   return std::chrono::microseconds(std::max<Time>(when - steady_now(), 0));
 }
 
-std::string base64(const std::string& bytes) {
+std::string encode_base64(const std::string& bytes) {
   std::string text(beast::detail::base64::encoded_size(bytes.size()), '\0');
   text.resize(beast::detail::base64::encode(text.data(), bytes.data(), bytes.size()));
   return text;
@@ -49,14 +49,14 @@
   writer.StartObject();
   write_member(writer, "id", message.client_id);
   if (!message.idempotency_key.empty()) write_member(writer, "key", message.idempotency_key);
-  write_member(writer, "body", base64(message.body));
+  write_member(writer, "body", encode_base64(message.body));
   writer.EndObject();
 }
 
-// The state of each message by its client's id; nothing where the body is no array.
+// Returns the state of each message by its client id, or nothing if the body is not a JSON array.
 std::optional<std::map<std::string, std::string>> read_batch_states(const std::string& body) {
   rapidjson::Document document;
-  // The recursive parser would exhaust the stack on thousands of opening brackets.
+  // The recursive parser would exhaust the stack on input with thousands of opening brackets.
   document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
   if (document.HasParseError() || !document.IsArray()) return std::nullopt;
   std::map<std::string, std::string> states;
@@ -71,8 +71,8 @@
   return states;
 }
 
-// Whether the outcome leaves open what the endpoint did.
-bool is_unanswered(Outcome outcome) {
+// Whether the outcome does not tell if the endpoint processed the message.
+bool leaves_result_unknown(Outcome outcome) {
   return outcome == Outcome::reset || outcome == Outcome::timeout || outcome == Outcome::cancelled;
 }
 
@@ -116,7 +116,7 @@
   restart_timer();
   connection_->socket.async_connect(address, [self = shared_from_this()](error_code error) {
     if (self->is_finished()) return;
-    if (error) return self->end_all({Outcome::connect_failed});
+    if (error) return self->end_all_attempts({Outcome::connect_failed});
     self->connection_->socket.set_option(tcp::no_delay(true), error);
     self->connection_->socket.non_blocking(true, error);
     self->send_request();
@@ -124,18 +124,18 @@
 }
 
 void DeliveryCall::send_request() {
-  end_late_messages();
+  end_overdue_attempts();
   if (is_finished()) return;
-  // Those that ended while the connection was opened are not part of the request.
+  // Messages that ended while the connection was being opened are left out of the request.
   std::erase_if(messages_, [](const PendingMessage& pending) { return pending.ended; });
   prepare_request();
   stage_ = Stage::writing;
   http::async_write(connection_->socket, request_,
                     [self = shared_from_this()](error_code error, std::size_t) {
                       if (self->is_finished()) return;
-                      // The last byte was not written, so the endpoint can't have begun to process the
-                      // request.
-                      if (error) return self->end_all({Outcome::connect_failed});
+                      // The request was not written completely, so the endpoint cannot have started to
+                      // process it.
+                      if (error) return self->end_all_attempts({Outcome::connect_failed});
                       self->environment_.owner.on_request_written(self->messages_.size());
                       self->stage_ = Stage::awaiting_response;
                       self->read_response();
@@ -204,12 +204,13 @@
   read_response();
 }
 
-// Nothing that follows on the connection can be trusted. The endpoint may have processed the request,
-// whatever the status line said, unless it said 200.
+// Ends the call after a malformed, incomplete or overdue response. No further data on the connection can be
+// trusted. The endpoint may have processed the request, whatever status it sent; a status line with 200 means
+// that a single message was delivered.
 void DeliveryCall::fail_response() {
-  if (response_.has_head()) retry_after_ = response_.retry_after();
+  if (response_.has_header()) retry_after_ = response_.retry_after();
   environment_.unexpected_responses.count("malformed or incomplete");
-  end_all({Outcome::reset});
+  end_all_attempts({Outcome::reset});
 }
 
 void DeliveryCall::process_response() {
@@ -218,9 +219,9 @@
   connection_reusable_ = response_.reusable();
   const auto connection = connection_;
   if (http::int_to_status(response_.status()) == http::status::ok && messages_.size() > 1)
-    end_batch();
+    process_batch_response();
   else
-    end_all(result_of_status());
+    end_all_attempts(result_of_status());
   if (connection_reusable_) environment_.owner.on_connection_idle(endpoint_, connection);
 }
 
@@ -231,7 +232,7 @@
     case http::status::too_many_requests:
       return {Outcome::rejected};
     case http::status::service_unavailable:
-      return {response_.line_busy() ? Outcome::not_sent : Outcome::rejected};
+      return {response_.has_line_busy_header() ? Outcome::not_sent : Outcome::rejected};
     case http::status::gateway_timeout:
       return {Outcome::not_sent};
     case http::status::gone:
@@ -249,14 +250,15 @@
   }
 }
 
-void DeliveryCall::end_batch() {
+void DeliveryCall::process_batch_response() {
   auto states = read_batch_states(response_.body());
   if (!states) {
     environment_.unexpected_responses.count("malformed batch response");
     connection_reusable_ = false;
-    return end_all({Outcome::reset});
+    return end_all_attempts({Outcome::reset});
   }
-  for (auto& pending : messages_) end(pending, result_of_batch_state((*states)[pending.message.client_id]));
+  for (auto& pending : messages_)
+    end_attempt(pending, result_of_batch_state((*states)[pending.message.client_id]));
 }
 
 DeliveryCall::AttemptResult DeliveryCall::result_of_batch_state(const std::string& state) {
@@ -264,7 +266,7 @@
   if (state == "busy") return {Outcome::rejected};
   if (state == "void") return {.outcome = Outcome::not_sent, .message_settled = true};
   if (state == "used_up") return {Outcome::not_sent};
-  // "failed", or not named in the response: the endpoint may have processed it.
+  // The state is "failed", unknown or missing from the response: the endpoint may have processed the message.
   return {Outcome::error};
 }
 
@@ -278,12 +280,12 @@
   });
 }
 
-// When the first of the timeouts that apply now expires.
+// Returns the steady time at which the first of the currently applicable timeouts expires.
 Time DeliveryCall::next_due() const {
-  Time due = steady_now() + kNever;
+  Time due = steady_now() + kMaxTimerDelay;
   for (const auto& pending : messages_) {
     if (pending.ended) continue;
-    if (!pending.abandoned_as) due = std::min(due, sent_at_ + pending.message.timeout);
+    if (!pending.provisional_outcome) due = std::min(due, sent_at_ + pending.message.timeout);
     if (is_connecting()) due = std::min(due, pending.message.start_by);
   }
   if (is_connecting()) due = std::min(due, connect_due());
@@ -294,25 +296,25 @@
 void DeliveryCall::on_timer() {
   const Time now = steady_now();
   const bool was_connecting = is_connecting();
-  if (was_connecting && now >= connect_due()) return end_all({Outcome::connect_failed});
-  if (was_connecting) end_late_messages();
+  if (was_connecting && now >= connect_due()) return end_all_attempts({Outcome::connect_failed});
+  if (was_connecting) end_overdue_attempts();
   if (response_due_ > 0 && now >= response_due_) return fail_response();
-  // The endpoint may have processed a request whose first byte was sent.
+  // Once writing has started, the endpoint may have processed the request.
   const Outcome outcome = was_connecting ? Outcome::connect_failed : Outcome::timeout;
   for (auto& pending : messages_)
-    if (!pending.ended && now >= sent_at_ + pending.message.timeout) abandon(pending, outcome);
+    if (!pending.ended && now >= sent_at_ + pending.message.timeout) stop_waiting_for(pending, outcome);
   restart_timer();
 }
 
 // ---- Outcomes. ----
 
-// One message is delivered by the status line of the response, several only by all of it.
+// A status line with 200 is enough to deliver a single message. A batch needs the complete response.
 bool DeliveryCall::is_delivered() const { return messages_.size() == 1 && response_.status_line_ok(); }
 
-void DeliveryCall::end(PendingMessage& pending, AttemptResult result) {
+void DeliveryCall::end_attempt(PendingMessage& pending, AttemptResult result) {
   if (pending.ended) return;
   pending.ended = true;
-  if (is_unanswered(result.outcome) && is_delivered())
+  if (leaves_result_unknown(result.outcome) && is_delivered())
     result = {.outcome = Outcome::succeeded, .message_settled = true};
   dispatch::event::AttemptEnded ended;
   ended.id = pending.message.id;
@@ -332,37 +334,38 @@
   stage_ = Stage::finished;
   timer_.cancel();
   environment_.owner.on_call_finished(shared_from_this());
-  // Where no complete response came, a late one must not be taken for the next call's.
+  // Guards against reuse of a connection on which a late response could be taken for that to the next call.
   error_code ignored;
   if (connection_ && !connection_reusable_) connection_->socket.close(ignored);
   connection_.reset();
 }
 
-void DeliveryCall::end_all(AttemptResult result) {
-  for (auto& pending : messages_) end(pending, result);
+void DeliveryCall::end_all_attempts(AttemptResult result) {
+  for (auto& pending : messages_) end_attempt(pending, result);
 }
 
-void DeliveryCall::abort() { end_all({Outcome::not_sent}); }
+void DeliveryCall::abort() { end_all_attempts({Outcome::not_sent}); }
 
-// Of a request that was not begun, the messages that may no longer be begun are not sent.
-void DeliveryCall::end_late_messages() {
+// Ends, as not sent, the messages whose latest start has passed. Called before the request is written.
+void DeliveryCall::end_overdue_attempts() {
   const Time now = steady_now();
   for (auto& pending : messages_)
-    if (now >= pending.message.start_by) end(pending, {Outcome::not_sent});
+    if (now >= pending.message.start_by) end_attempt(pending, {Outcome::not_sent});
 }
 
-// Stops waiting for a message. Where its request was begun, it ends with the call, when none of its messages
-// is waited for any more: reported before, it could be sent again while this copy is still in flight.
-void DeliveryCall::abandon(PendingMessage& pending, Outcome outcome) {
-  if (is_connecting()) return end(pending, {outcome});
-  if (pending.ended || pending.abandoned_as) return;
-  pending.abandoned_as = outcome;
+// Stops waiting for a message. Before writing starts, the message ends at once. Afterwards it ends with the
+// call, when no message of the call is waited for any longer: if its outcome were reported earlier, the
+// message could be sent again while this copy is still in flight.
+void DeliveryCall::stop_waiting_for(PendingMessage& pending, Outcome outcome) {
+  if (is_connecting()) return end_attempt(pending, {outcome});
+  if (pending.ended || pending.provisional_outcome) return;
+  pending.provisional_outcome = outcome;
   const bool others_awaited = std::any_of(messages_.begin(), messages_.end(), [](const auto& other) {
-    return !other.ended && !other.abandoned_as;
+    return !other.ended && !other.provisional_outcome;
   });
   if (others_awaited) return;
   for (auto& other : messages_)
-    if (!other.ended) end(other, {*other.abandoned_as});
+    if (!other.ended) end_attempt(other, {*other.provisional_outcome});
 }
 
 bool DeliveryCall::cancel(MessageId id, int attempt) {
@@ -370,7 +373,7 @@
     return !pending.ended && pending.message.id == id && pending.message.attempt == attempt;
   });
   if (found == messages_.end()) return false;
-  abandon(*found, is_connecting() ? Outcome::connect_failed : Outcome::cancelled);
+  stop_waiting_for(*found, is_connecting() ? Outcome::connect_failed : Outcome::cancelled);
   return true;
 }
 
@@ -386,7 +389,7 @@
   state.response_bytes = response_bytes_;
   for (const auto& pending : messages_) {
     state.messages.push_back(pending.message);
-    state.given_up.push_back(pending.abandoned_as);
+    state.provisional_outcomes.push_back(pending.provisional_outcome);
   }
   return state;
 }
@@ -400,7 +403,8 @@
   sent_at_ = handed_over.sent_at;
   response_due_ = handed_over.response_due;
   response_bytes_ = handed_over.response_bytes;
-  for (std::size_t i = 0; i < messages_.size(); i++) messages_[i].abandoned_as = handed_over.given_up[i];
+  for (std::size_t i = 0; i < messages_.size(); i++)
+    messages_[i].provisional_outcome = handed_over.provisional_outcomes[i];
   stage_ = Stage::awaiting_response;
   const auto read_state = response_.append(response_bytes_.data(), response_bytes_.size());
   const auto state = error ? ResponseReader::State::malformed : read_state;
--- a/relay/delivery_call.hpp
+++ b/relay/delivery_call.hpp
@@ -1,4 +1,5 @@
-// One HTTP call that delivers messages to an endpoint: connection, request, response, outcomes.
+// One HTTP call that delivers messages to an endpoint: it gets a connection, writes the request, reads the
+// response and reports the outcome of each message.
 #pragma once
 
 #include <array>
@@ -26,47 +27,48 @@
 using dispatch::MessageId;
 using dispatch::Outcome;
 
-// A message as one attempt delivers it. Times are in microseconds.
+// A message with the parameters of one delivery attempt. Times are in microseconds.
 struct OutgoingMessage {
   MessageId id = 0;
   int attempt = 0;
-  Time timeout = 0;  // from the start of the call
+  Time timeout = 0;  // counted from the start of the call
   std::string client_id;
   std::string body;
-  std::string idempotency_key = {};       // empty: none
-  Time time_to_deadline = 3'600'000'000;  // after that the message is given up, delivered or not
-  // Steady time: where the request is not begun by then, the message is not sent.
+  std::string idempotency_key = {};       // empty if the message has none
+  Time time_to_deadline = 3'600'000'000;  // the message is given up then, whether delivered or not
+  // Steady time. If writing the request has not started by then, the message is not sent.
   Time start_by = std::numeric_limits<Time>::max();
 };
 
-// A call whose request is written completely and whose response is awaited, as one process hands it over to
-// the next. Times are steady, in microseconds.
+// The state of a call that awaits its response, as one process hands it over to the next. Its request has
+// been written completely. Times are steady times in microseconds.
 struct InFlightCall {
-  int socket = -1;
+  int socket = -1;  // file descriptor
   EndpointId endpoint;
   boost::asio::ip::tcp::endpoint address;
   Time sent_at = 0;
-  Time response_due = 0;                         // 0: no part of the response has come
-  std::string response_bytes;                    // what has come of the response
-  std::vector<OutgoingMessage> messages;         // without their bodies
-  std::vector<std::optional<Outcome>> given_up;  // of each message: its outcome, should no response come
+  Time response_due = 0;       // when the response must be complete; 0 if no part of it has arrived
+  std::string response_bytes;  // the part of the response that has arrived
+  std::vector<OutgoingMessage> messages;  // without their bodies
+  // One for each message. Set if the message is no longer waited for: its outcome if no response arrives.
+  std::vector<std::optional<Outcome>> provisional_outcomes;
 };
 
-// Times are in microseconds.
+// Limits of a delivery client. Times are in microseconds.
 struct DeliveryLimits {
   std::size_t max_calls_in_flight = 1;
   Time connect_timeout = 0;
-  Time idle_timeout = 0;                   // endpoints close connections that were idle for so long
-  std::size_t max_connections = 1;         // of calls in flight and idle ones together
-  bool load_reports_in_responses = false;  // responses may carry load reports
+  Time idle_timeout = 0;                   // endpoints close connections that have been idle for this time
+  std::size_t max_connections = 1;         // connections of calls in flight plus idle connections
+  bool load_reports_in_responses = false;  // whether load reports are read from responses
 };
 
-// A call in flight. Each message has its own timeout; the call ends with the last of them, and no message
-// ends before its call does unless its response comes: it could be sent again while the first copy is still
-// in flight.
+// A call in flight. Each message has its own timeout, and the call ends at the last of these. Once the
+// request is being written, a message that timed out or was cancelled ends only with the call: if its outcome
+// were reported earlier, the message could be sent again while the first copy is still in flight.
 class DeliveryCall : public std::enable_shared_from_this<DeliveryCall> {
  public:
-  // The client that makes the call, as the call sees it.
+  // The interface through which a call notifies the client that makes it.
   class Owner {
    public:
     Owner() = default;
@@ -76,18 +78,18 @@
     // Called before a connection is opened.
     virtual void make_room_for_connection() = 0;
     virtual void on_request_written(std::size_t message_count) = 0;
-    // Called once all messages of the call have their outcome, before the last is reported.
+    // Called once all messages of the call have an outcome, before the last outcome is reported.
     virtual void on_call_finished(const std::shared_ptr<DeliveryCall>& call) = 0;
-    // Called once for each message.
+    // Called once for each message, with its outcome.
     virtual void on_attempt_ended(const dispatch::event::AttemptEnded& ended) = 0;
-    // Called after a response behind which the connection can be used again.
+    // Called after a response if the connection can be reused.
     virtual void on_connection_idle(const EndpointId& endpoint,
                                     const std::shared_ptr<Connection>& connection) = 0;
   };
 
   using ReadBuffer = std::array<char, std::size_t{16} * 1024>;
 
-  // What all calls of a client share. It outlives them.
+  // The objects that all calls of a client share. They must outlive the calls.
   struct Environment {
     boost::asio::io_context& io;
     const DeliveryLimits& limits;
@@ -101,11 +103,11 @@
 
   // Gets a connection and sends the request.
   void start();
-  // Continues a call that another process began.
+  // Continues a call that another process started.
   void resume(const InFlightCall& handed_over);
-  // Cancels an attempt; false where it is not one of this call's or has ended.
+  // Cancels an attempt. Returns false if it does not belong to this call or has already ended.
   bool cancel(MessageId id, int attempt);
-  // Ends all messages, of a call whose request has not reached the endpoint, as not sent.
+  // Ends all messages as not sent. Only for a call whose request has not been written completely.
   void abort();
 
   const EndpointId& endpoint() const { return endpoint_; }
@@ -113,20 +115,21 @@
   bool is_writing() const { return stage_ == Stage::writing; }
   bool awaits_response() const { return stage_ == Stage::awaiting_response; }
   bool is_finished() const { return stage_ == Stage::finished; }
-  // Of a call that awaits its response.
+  // Returns the state to hand over to another process. Only for a call that awaits its response.
   InFlightCall state() const;
 
  private:
   enum class Stage { connecting, writing, awaiting_response, finished };
   struct PendingMessage {
     OutgoingMessage message;
-    bool ended = false;  // its outcome was reported
-    // Set where it is no longer waited for while others of the call are: reported when the call ends.
-    std::optional<Outcome> abandoned_as;
+    bool ended = false;  // its outcome has been reported
+    // Set if this message timed out or was cancelled while other messages of the call are still waited for.
+    // It is reported when the call ends.
+    std::optional<Outcome> provisional_outcome;
   };
   struct AttemptResult {
     Outcome outcome = Outcome::succeeded;
-    bool message_settled = false;  // no other attempt may follow
+    bool message_settled = false;  // no further attempt may follow
   };
 
   void start_at(Time when);
@@ -138,7 +141,7 @@
   void process(ResponseReader::State state);
   void process_response();
   AttemptResult result_of_status();
-  void end_batch();
+  void process_batch_response();
   void fail_response();
   static AttemptResult result_of_batch_state(const std::string& state);
 
@@ -147,27 +150,28 @@
   void on_timer();
   Time connect_due() const { return sent_at_ + environment_.limits.connect_timeout; }
 
-  void end(PendingMessage& pending, AttemptResult result);
-  void end_all(AttemptResult result);
-  void end_late_messages();
-  void abandon(PendingMessage& pending, Outcome outcome);
+  void end_attempt(PendingMessage& pending, AttemptResult result);
+  void end_all_attempts(AttemptResult result);
+  void end_overdue_attempts();
+  void stop_waiting_for(PendingMessage& pending, Outcome outcome);
   void finish();
   bool is_delivered() const;
 
   const Environment& environment_;
   EndpointId endpoint_;
   std::vector<PendingMessage> messages_;
-  std::size_t pending_count_ = 0;  // messages whose outcome was not reported
+  std::size_t pending_count_ = 0;  // messages whose outcome has not been reported
   Stage stage_ = Stage::connecting;
   Time sent_at_ = 0;  // steady time, microseconds
   std::shared_ptr<Connection> connection_;
   boost::asio::steady_timer timer_;
   boost::beast::http::request<boost::beast::http::string_body> request_;
   ResponseReader response_;
-  std::string response_bytes_;  // what has come of the response
-  Time response_due_ = 0;       // the rest of a response that has begun must come by then; 0: none has begun
+  std::string response_bytes_;  // the part of the response that has arrived
+  // Steady time in microseconds at which a started response must be complete; 0 if none has started.
+  Time response_due_ = 0;
   bool connection_reusable_ = false;
-  Time retry_after_ = 0;
+  Time retry_after_ = 0;  // microseconds
   dispatch::LoadReport load_report_;
 };
 
--- a/relay/delivery_client.cpp
+++ b/relay/delivery_client.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// A response that comes after the deadline of one message delivers none of the batch, whatever it says.
+// A response that arrives after the deadline of one message delivers no message of the batch, whatever its
+// content.
 void limit_timeouts_to_first_deadline(std::vector<OutgoingMessage>& batch) {
   const auto first = std::min_element(batch.begin(), batch.end(), [](const auto& left, const auto& right) {
     return left.time_to_deadline < right.time_to_deadline;
@@ -22,10 +23,11 @@
 
 }  // namespace
 
-DeliveryClient::DeliveryClient(net::io_context& io, const DeliveryLimits& limits, Ended ended)
+DeliveryClient::DeliveryClient(net::io_context& io, const DeliveryLimits& limits,
+                               AttemptEndedHandler on_ended)
     : io_(io),
       limits_(limits),
-      ended_(std::move(ended)),
+      on_ended_(std::move(on_ended)),
       unexpected_responses_(io, "endpoints: unexpected responses"),
       pool_(io, limits.idle_timeout),
       environment_{io_, limits_, *this, pool_, unexpected_responses_, read_buffer_} {}
@@ -39,7 +41,7 @@
   return pool_.address_of(endpoint);
 }
 
-void DeliveryClient::forget(const EndpointId& endpoint) { pool_.remove(endpoint); }
+void DeliveryClient::remove_endpoint(const EndpointId& endpoint) { pool_.remove(endpoint); }
 
 void DeliveryClient::close_idle(const EndpointId& endpoint) { pool_.close_idle(endpoint); }
 
@@ -94,9 +96,9 @@
   call->resume(handed_over);
 }
 
-// ---- What calls report. ----
+// ---- Callbacks from calls. ----
 
-// Calls in flight come first: idle connections are closed for theirs.
+// Closes idle connections so that a call in flight can open one within the limit on connections.
 void DeliveryClient::make_room_for_connection() {
   while (in_flight_.size() + pool_.idle_count() > limits_.max_connections) {
     if (!pool_.close_longest_idle()) return;
@@ -107,7 +109,7 @@
 
 void DeliveryClient::on_call_finished(const std::shared_ptr<DeliveryCall>& call) { in_flight_.erase(call); }
 
-void DeliveryClient::on_attempt_ended(const dispatch::event::AttemptEnded& ended) { ended_(ended); }
+void DeliveryClient::on_attempt_ended(const dispatch::event::AttemptEnded& ended) { on_ended_(ended); }
 
 void DeliveryClient::on_connection_idle(const EndpointId& endpoint,
                                         const std::shared_ptr<Connection>& connection) {
--- a/relay/delivery_client.hpp
+++ b/relay/delivery_client.hpp
@@ -1,8 +1,8 @@
 // HTTP client that delivers messages to endpoints.
 //
-// A connection carries one call at a time; idle connections are reused, the most recently used first, and
-// closed before the endpoint would close them. Messages that share a call (a batch) share its fate: once the
-// deadline of one of them has passed, none is waited for.
+// A connection carries one call at a time. Idle connections are reused, the most recently used first, and are
+// closed before the endpoint would close them. Several messages can share one call, as a batch. The client
+// stops waiting for the whole batch at the earliest deadline of its messages.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,43 +21,46 @@
 
 namespace message_relay {
 
+// Starts and tracks the calls to all endpoints, and owns their connections.
 class DeliveryClient : private DeliveryCall::Owner {
  public:
-  using Ended = std::function<void(const dispatch::event::AttemptEnded&)>;
+  using AttemptEndedHandler = std::function<void(const dispatch::event::AttemptEnded&)>;
 
-  // `ended` is called once for each message, never from inside send().
-  DeliveryClient(boost::asio::io_context& io, const DeliveryLimits& limits, Ended ended);
+  // `on_ended` is called once for each message, never from inside send().
+  DeliveryClient(boost::asio::io_context& io, const DeliveryLimits& limits, AttemptEndedHandler on_ended);
   ~DeliveryClient() override;
   DeliveryClient(const DeliveryClient&) = delete;
   DeliveryClient& operator=(const DeliveryClient&) = delete;
 
-  // Sets where an endpoint is found; idle connections to another address are closed.
+  // Sets the address of an endpoint. Idle connections to its previous address are closed.
   void set_address(const EndpointId& endpoint, const boost::asio::ip::tcp::endpoint& address);
+  // Returns nothing for an endpoint without an address.
   std::optional<boost::asio::ip::tcp::endpoint> address_of(const EndpointId& endpoint) const;
-  // Forgets an endpoint that was removed.
-  void forget(const EndpointId& endpoint);
+  // Removes the address of an endpoint and closes its idle connections.
+  void remove_endpoint(const EndpointId& endpoint);
 
-  // Delivers the messages in one call. Where too many are in flight, or the endpoint has no address, they end
-  // as not sent.
+  // Delivers the messages in one call. If too many calls are in flight or the endpoint has no address, each
+  // message ends as not sent.
   void send(const EndpointId& endpoint, std::vector<OutgoingMessage> messages);
-  // Stops waiting for an attempt.
+  // Stops waiting for an attempt. Does nothing if no call in flight contains the attempt.
   void cancel(MessageId id, int attempt);
-  // Ends the calls to an endpoint of which nothing was sent yet, as not sent.
+  // Ends, as not sent, the calls to an endpoint of whose requests nothing has been written yet.
   void cancel_unsent(const EndpointId& endpoint);
-  // Ends all calls whose request is not written completely, as not sent.
+  // Ends, as not sent, all calls whose requests have not been written completely.
   void cancel_all_unsent();
   void close_idle(const EndpointId& endpoint);
   void close_all_idle();
 
-  // Whether the requests of all calls are written completely.
+  // Whether the requests of all calls have been written completely.
   bool all_calls_written() const;
-  // The calls that await their response, the earliest first, for another process to continue.
+  // Returns the calls that await their responses, the earliest first, for another process to continue.
   std::vector<InFlightCall> in_flight_calls() const;
-  // Continues a call that another process began.
+  // Continues a call that another process started.
   void adopt(const InFlightCall& handed_over);
 
+  // Returns the number of calls in flight.
   std::size_t in_flight_count() const { return in_flight_.size(); }
-  // Messages whose requests were written completely, since the start.
+  // Returns the number of messages whose requests have been written completely since the client was created.
   std::uint64_t messages_written() const { return messages_written_; }
 
  private:
@@ -69,14 +72,14 @@
   void on_attempt_ended(const dispatch::event::AttemptEnded& ended) override;
   void on_connection_idle(const EndpointId& endpoint, const std::shared_ptr<Connection>& connection) override;
 
-  // A copy: calls leave the set when they end.
+  // Returns a copy, because calls are erased from the set when they end.
   std::vector<std::shared_ptr<DeliveryCall>> calls() const { return {in_flight_.begin(), in_flight_.end()}; }
 
   boost::asio::io_context& io_;
   DeliveryLimits limits_;
-  Ended ended_;
+  AttemptEndedHandler on_ended_;
   CountingLog unexpected_responses_;
-  DeliveryCall::ReadBuffer read_buffer_{};  // what was read last, for all calls
+  DeliveryCall::ReadBuffer read_buffer_{};  // shared by all calls
   ConnectionPool pool_;
   DeliveryCall::Environment environment_;
   Calls in_flight_;
--- a/relay/handover_state.cpp
+++ b/relay/handover_state.cpp
@@ -144,7 +144,7 @@
   write_count(record, call.messages);
   for (std::size_t i = 0; i < call.messages.size(); i++) {
     write_message(record, call.messages[i]);
-    write_given_up(record, call.given_up[i]);
+    write_given_up(record, call.provisional_outcomes[i]);
   }
   return record.payload();
 }
@@ -158,7 +158,7 @@
   call.response_bytes = in.text();
   read_list(in, [&] {
     call.messages.push_back(read_message(in));
-    call.given_up.push_back(read_given_up(in));
+    call.provisional_outcomes.push_back(read_given_up(in));
   });
   return call;
 }
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -241,7 +241,7 @@
   log_endpoint_list(list);
   for (const auto& [id, status] : unavailable) {
     stop_using(id);
-    if (status == EndpointStatus::removed) delivery_.forget(id);
+    if (status == EndpointStatus::removed) delivery_.remove_endpoint(id);
   }
   if (list.is_snapshot)
     events_.add(event::EndpointListSnapshot{endpoints_of(list), false});
--- a/relay/response_reader.cpp
+++ b/relay/response_reader.cpp
@@ -14,11 +14,12 @@
 namespace {
 
 constexpr int kMaxInformationalResponses = 16;
-constexpr Time kMaxRetryAfter = 3'600'000'000;  // microseconds; a longer one is an endpoint's mistake
+// Microseconds. A longer time is taken for an error of the endpoint.
+constexpr Time kMaxRetryAfter = 3'600'000'000;
 constexpr double kMicrosecondsPerMillisecond = 1000;
 
-constexpr std::size_t kStatusOffset = 8;  // in "HTTP/1.1 200 "
-constexpr std::size_t kStatusLineStartBytes = 13;
+constexpr std::size_t kStatusOffset = 8;             // of " 200" in "HTTP/1.1 200 "
+constexpr std::size_t kStatusLineCheckedBytes = 13;  // length of "HTTP/1.1 200 "
 
 constexpr unsigned kFirstInformationalStatus = 100;
 constexpr unsigned kSwitchingProtocols = 101;
@@ -32,8 +33,8 @@
   return number;
 }
 
-// Takes over one field of a load report, "x0=0.4"; others are ignored.
-void read_load_field(beast::string_view field, dispatch::LoadReport& report) {
+// Adds one field such as "x0=0.4" to the report. Fields that are unknown or invalid are ignored.
+void parse_load_field(beast::string_view field, dispatch::LoadReport& report) {
   const auto separator = field.find('=');
   if (separator == beast::string_view::npos) return;
   const auto name = field.substr(0, separator);
@@ -49,8 +50,8 @@
   const std::string version = "HTTP/1.";
   const auto compared = std::min(text.size(), version.size());
   if (text.compare(0, compared, version, 0, compared) != 0) return false;
-  if (text.size() < kStatusLineStartBytes) return std::nullopt;
-  const char after_status = text[kStatusLineStartBytes - 1];
+  if (text.size() < kStatusLineCheckedBytes) return std::nullopt;
+  const char after_status = text[kStatusLineCheckedBytes - 1];
   return text.compare(kStatusOffset, 4, " 200") == 0 && (after_status == ' ' || after_status == '\r');
 }
 
@@ -58,8 +59,8 @@
   parser_.emplace();
   parser_->header_limit(kMaxHeaderBytes);
   parser_->body_limit(kMaxBodyBytes);
-  // Head and body are parsed in separate calls: in one call, Beast 1.74 forgets that the announced length is
-  // over the limit and reserves it.
+  // Makes Beast parse header and body in separate calls. In a single call, Beast 1.74 loses the error for an
+  // announced length over the limit and reserves memory for that length.
   parser_->eager(false);
   status_line_ok_.reset();
   started_ = false;
@@ -76,7 +77,7 @@
       has_excess_bytes_ = !pending_.empty();
       return State::complete;
     }
-    // No request asks for a switch of protocols.
+    // No request asks the endpoint to switch protocols, so status 101 is malformed.
     informational_count_++;
     if (status() == kSwitchingProtocols || informational_count_ > kMaxInformationalResponses)
       return State::malformed;
@@ -85,11 +86,12 @@
   return State::incomplete;
 }
 
-// Parses up to the end of one response, informational ones included.
+// Parses up to the end of one response, which may be an informational one.
 ResponseReader::State ResponseReader::parse_pending() {
   while (!pending_.empty()) {
     started_ = true;
-    // Nothing is parsed before the status line has arrived, so it is at the front until it is known.
+    // Nothing is parsed before the complete status line has arrived, so until its status is known the line is
+    // at the front of the pending bytes.
     if (!status_line_ok_) status_line_ok_ = status_line_is_ok(pending_);
     beast::error_code error;
     const std::size_t parsed = parser_->put(boost::asio::buffer(pending_), error);
@@ -125,13 +127,13 @@
       std::min(*milliseconds * kMicrosecondsPerMillisecond, static_cast<double>(kMaxRetryAfter)));
 }
 
-// From a header such as "x0=0.4,x1=25".
+// Parses a header such as "x0=0.4,x1=25".
 dispatch::LoadReport ResponseReader::load_report() const {
   dispatch::LoadReport report;
   const auto text = parser_->get()["X-Load"];
   for (std::size_t start = 0; start < text.size();) {
     const auto end = std::min(text.find(',', start), text.size());
-    read_load_field(text.substr(start, end - start), report);
+    parse_load_field(text.substr(start, end - start), report);
     start = end + 1;
   }
   return report;
--- a/relay/response_reader.hpp
+++ b/relay/response_reader.hpp
@@ -1,5 +1,5 @@
-// Parses one response of an endpoint as it arrives. The one place that decides whether a response is
-// malformed. No input or output here.
+// Incremental parser for one response of an endpoint. This is the only place that decides whether a response
+// is malformed. It performs no input or output.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -12,38 +12,45 @@
 
 namespace message_relay {
 
-// Whether the status line at the start of this text says 200; nothing where too little has come to tell.
+// Whether the text starts with a status line with status 200. Returns nothing if the text is too short to
+// tell.
 std::optional<bool> status_line_is_ok(const std::string& text);
 
+// Parses informational (1xx) responses and the final response that follows them.
 class ResponseReader {
  public:
   enum class State {
-    incomplete,  // more is to come
+    incomplete,  // more bytes are needed
     complete,
-    malformed,  // it can't be parsed, or exceeds the size limits
+    malformed,  // the response cannot be parsed or exceeds a limit on its size
   };
 
   ResponseReader() { begin_response(); }
 
-  // Adds what has arrived.
+  // Parses further bytes that have arrived.
   [[nodiscard]] State append(const char* bytes, std::size_t size);
-  // The endpoint has closed the connection.
+  // Tells the parser that the endpoint has closed the connection.
   [[nodiscard]] State finish();
 
-  // Whether a part of the response has arrived; informational (1xx) responses before it don't count.
+  // Whether a part of the response has arrived. Informational responses that precede it do not count once
+  // they are complete.
   bool has_started() const { return started_; }
+  // Whether the status line has arrived with status 200.
   bool status_line_ok() const { return status_line_ok_.value_or(false); }
-  // Whether the next response on the connection is that to the next request: this one is complete, and
-  // nothing came behind it.
+  // Whether the connection can be reused: the response is complete, no further bytes have followed it, and
+  // the endpoint keeps the connection open.
   bool reusable() const { return complete_ && !has_excess_bytes_ && parser_->keep_alive(); }
 
-  bool has_head() const { return parser_->is_header_done(); }
-  // The members below need the head.
+  bool has_header() const { return parser_->is_header_done(); }
+  // The members below require that has_header() is true.
   unsigned status() const { return parser_->get().result_int(); }
-  bool line_busy() const { return parser_->get()["X-Line-Busy"] == "1"; }
+  // Whether the endpoint reports `X-Line-Busy: 1`.
+  bool has_line_busy_header() const { return parser_->get()["X-Line-Busy"] == "1"; }
   const std::string& body() const { return parser_->get().body(); }
-  // How long the endpoint asks not to be called, in microseconds; 0: not at all, or no usable value.
+  // Returns the time in microseconds for which the endpoint asks not to be called; 0 if the header is missing
+  // or its value is invalid or not positive.
   Time retry_after() const;
+  // Returns the fields of the load report that the response carries; invalid ones are ignored.
   dispatch::LoadReport load_report() const;
 
  private:
@@ -54,9 +61,9 @@
   bool is_informational() const;
 
   std::optional<Parser> parser_;
-  std::string pending_;  // arrived but not parsed yet
+  std::string pending_;  // bytes that have arrived and are not parsed yet
   std::optional<bool> status_line_ok_;
-  int informational_count_ = 0;  // 1xx responses
+  int informational_count_ = 0;
   bool started_ = false;
   bool framing_checked_ = false;
   bool complete_ = false;
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -97,7 +97,7 @@
   call.socket = near.get(), call.endpoint = "s-1", call.address = m.address;
   call.sent_at = 11, call.response_due = 12, call.response_bytes = std::string("HTTP\0", 5);
   call.messages = {{900, 3, 44, "m900", ""}, {901, 0, 45, "m901", ""}};
-  call.given_up = {std::nullopt, Outcome::cancelled};
+  call.provisional_outcomes = {std::nullopt, Outcome::cancelled};
   given.calls = {call};
 
   StartupOwnership got;
@@ -146,7 +146,7 @@
   EXPECT_EQ(e.calls[0].messages[0].attempt, 3);
   EXPECT_EQ(e.calls[0].messages[1].timeout, 45);
   EXPECT_EQ(e.calls[0].messages[1].client_id, "m901");
-  EXPECT_EQ(e.calls[0].given_up, call.given_up);
+  EXPECT_EQ(e.calls[0].provisional_outcomes, call.provisional_outcomes);
   // Each descriptor is another one of the same socket.
   std::set<int> all{e.listener, e.clients[0].socket, e.clients[1].socket, e.calls[0].socket, near.get()};
   EXPECT_EQ(all.size(), 5U);
