--- a/relay/client_responses.hpp
+++ b/relay/client_responses.hpp
@@ -1,17 +1,18 @@
-// The responses to a client that hands in a message.
+// The responses to a client that submits a message.
 #pragma once
 
 #include "ingress_server.hpp"
 
 namespace message_relay {
 
-// The message stands in the journal: the relay owes its delivery or a final notice.
+// The message is stored in the journal. The relay will deliver it or send a final notice.
 inline constexpr ClientResponse kAccepted{202, 0};
-// Nothing was taken on: no capacity, or the journal can't be written. Retry-After is 0.5 s.
+// The message was not accepted, because there is no capacity or the journal cannot be written. Retry-After is
+// 0.5 s.
 inline constexpr ClientResponse kTemporarilyRejected{503, 500'000};
-// No endpoint list has named the destination.
+// No endpoint list has contained the destination.
 inline constexpr ClientResponse kUnknownDestination{404, 0, "unknown destination"};
-// The message was given up, and may have been delivered.
+// The message was given up. It may have been delivered.
 inline constexpr ClientResponse kFailed{504, 0};
 
 }  // namespace message_relay
--- a/relay/ingress_server.cpp
+++ b/relay/ingress_server.cpp
@@ -16,24 +16,24 @@
 namespace {
 
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
-// Near capacity: three quarters of the connections are open.
+// The server is near capacity when this fraction, three quarters, of its connections is open.
 constexpr std::size_t kNearCapacityNumerator = 3;
 constexpr std::size_t kNearCapacityDenominator = 4;
-constexpr std::size_t kMaxEvictionAttempts = 4;  // for one new connection
+constexpr std::size_t kMaxEvictionAttempts = 4;  // for each new connection
 
 }  // namespace
 
-IngressServer::IngressServer(net::io_context& io, tcp::acceptor listening, const dispatch::Settings& settings,
-                             const configuration::SettingNames& names, const IngressLimits& limits, Take take,
-                             Ready ready)
+IngressServer::IngressServer(net::io_context& io, tcp::acceptor acceptor, const dispatch::Settings& settings,
+                             const configuration::SettingNames& names, const IngressLimits& limits,
+                             MessageHandler on_message, ReadinessCheck is_ready)
     : io_(io),
-      acceptor_(std::move(listening)),
+      acceptor_(std::move(acceptor)),
       accept_timer_(io),
       settings_(settings),
       names_(names),
       limits_(limits),
-      take_(std::move(take)),
-      ready_(std::move(ready)),
+      on_message_(std::move(on_message)),
+      is_ready_(std::move(is_ready)),
       rejections_(io, "clients: rejected") {
   accept();
 }
@@ -44,9 +44,9 @@
     if (error == net::error::operation_aborted) return;
     if (error) {
       log("clients: accept failed: " + error.message());
-      return retry_accept();
+      return schedule_accept_retry();
     }
-    evict_session();
+    evict_session_if_needed();
     if (sessions_.size() >= limits_.max_connections) {
       rejections_.count("too many connections");
     } else {
@@ -58,8 +58,8 @@
   });
 }
 
-// Guards against a busy loop while no descriptor is available.
-void IngressServer::retry_accept() {
+// Guards against a busy loop of failing accepts while no file descriptor is available.
+void IngressServer::schedule_accept_retry() {
   accept_timer_.expires_after(kAcceptRetryDelay);
   accept_timer_.async_wait([this](error_code error) {
     if (!error) accept();
@@ -76,8 +76,9 @@
   return sessions_.size() * kNearCapacityDenominator >= limits_.max_connections * kNearCapacityNumerator;
 }
 
-// Closes a connection that can be closed without losing a message, if the next new one needs its place.
-void IngressServer::evict_session() {
+// Closes one connection if the server is near capacity and one can be closed without losing a message. Below
+// full capacity only connections that have been idle long enough are closed.
+void IngressServer::evict_session_if_needed() {
   if (!is_near_capacity()) return;
   const Time now = steady_now();
   const bool is_full = sessions_.size() >= limits_.max_connections;
@@ -94,15 +95,15 @@
     if (candidates[i].second->evict()) return;
 }
 
-void IngressServer::drain(bool on) {
-  draining_ = on;
-  if (!on) return;
-  // A copy: sessions leave the set when they close.
+void IngressServer::drain(bool enabled) {
+  draining_ = enabled;
+  if (!enabled) return;
+  // A copy, because sessions are erased from the set when they close.
   for (const auto& session : std::vector<std::shared_ptr<Session>>(sessions_.begin(), sessions_.end()))
     session->drain();
 }
 
-bool IngressServer::busy() const {
+bool IngressServer::has_active_connections() const {
   return std::any_of(sessions_.begin(), sessions_.end(),
                      [](const auto& session) { return !session->is_idle(); });
 }
--- a/relay/ingress_server.hpp
+++ b/relay/ingress_server.hpp
@@ -18,63 +18,69 @@
 
 namespace message_relay {
 
+// The response to one request of a client.
 struct ClientResponse {
-  unsigned status = 202;
-  Time retry_after = 0;                    // microseconds; 0: none
-  std::string_view rejection_reason = {};  // for the log, where the request is invalid; a literal
+  unsigned status = 202;  // HTTP status
+  Time retry_after = 0;   // microseconds; 0 for no Retry-After header
+  std::string_view rejection_reason =
+      {};  // string literal for the log if the request is invalid; otherwise empty
 };
 using ResponseCallback = std::function<void(const ClientResponse&)>;
 
-// A connection between requests, as one process hands it over to the next.
+// A client connection without a request, as one process hands it over to the next.
 struct IdleClient {
-  int socket = -1;
-  bool served_before = false;  // a complete request has come on it
+  int socket = -1;             // file descriptor
+  bool served_before = false;  // whether a complete request has been read from it
   Time idle_since = 0;         // steady time, microseconds
 };
 
+// Limits of the ingress server.
 struct IngressLimits {
   std::size_t max_connections = 1;
-  std::size_t max_body_bytes = 0;  // of all bodies together that are being read
+  std::size_t max_body_bytes = 0;  // total of the bodies of requests that are being read or answered
 };
 
+// Accepts client connections and passes the message of each valid request to a handler.
 class IngressServer {
  public:
-  // Gets each message, and must call the callback once, then or later.
-  using Take = std::function<void(Message, ResponseCallback)>;
-  // Whether the health check succeeds.
-  using Ready = std::function<bool()>;
+  // Receives each message. It must call the callback exactly once, during the call or later.
+  using MessageHandler = std::function<void(Message, ResponseCallback)>;
+  // Returns whether the health check succeeds.
+  using ReadinessCheck = std::function<bool()>;
 
-  // Accepts connections from now on. `settings` and `names` must outlive the server.
-  IngressServer(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor listening,
+  // Starts accepting connections. `settings` and `names` must outlive the server.
+  IngressServer(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor acceptor,
                 const dispatch::Settings& settings, const configuration::SettingNames& names,
-                const IngressLimits& limits, Take take, Ready ready);
+                const IngressLimits& limits, MessageHandler on_message, ReadinessCheck is_ready);
   ~IngressServer();
   IngressServer(const IngressServer&) = delete;
   IngressServer& operator=(const IngressServer&) = delete;
 
-  // While draining, a connection is closed as soon as it is between requests; requests on new ones are still
-  // answered.
-  void drain(bool on);
-  // Whether a connection is not idle.
-  bool busy() const;
-  // Whether no request is being read or answered; rejected ones whose rest is discarded don't count.
+  // Starts or stops draining. While draining, a connection is closed as soon as it is between requests. New
+  // connections are still accepted and their requests answered.
+  void drain(bool enabled);
+  // Whether any connection is not idle.
+  bool has_active_connections() const;
+  // Whether no request is being read or answered. A rejected request whose remaining input is being discarded
+  // does not count.
   bool all_between_requests() const;
 
-  // What another process needs to continue.
-  int listener() { return acceptor_.native_handle(); }
+  // Returns the file descriptor of the listening socket, for handover to another process.
+  int listener_descriptor() { return acceptor_.native_handle(); }
+  // Returns the idle connections, for handover to another process.
   std::vector<IdleClient> idle_clients() const;
-  // Continues with a connection that another process accepted.
+  // Continues to serve a connection that another process accepted.
   void adopt(const IdleClient& client);
 
-  boost::asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
+  boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
  private:
   class Session;
 
   void accept();
-  void retry_accept();
+  void schedule_accept_retry();
   void start_session(boost::asio::ip::tcp::socket socket, bool served_before, Time idle_since);
-  void evict_session();
+  void evict_session_if_needed();
   bool is_near_capacity() const;
 
   boost::asio::io_context& io_;
@@ -83,10 +89,10 @@
   const dispatch::Settings& settings_;
   const configuration::SettingNames& names_;
   IngressLimits limits_;
-  Take take_;
-  Ready ready_;
+  MessageHandler on_message_;
+  ReadinessCheck is_ready_;
   bool draining_ = false;
-  std::size_t body_bytes_ = 0;  // reserved for bodies that are being read
+  std::size_t body_bytes_ = 0;  // memory reserved for request bodies
   CountingLog rejections_;
   std::set<std::shared_ptr<Session>> sessions_;
 };
--- a/relay/ingress_session.cpp
+++ b/relay/ingress_session.cpp
@@ -18,17 +18,20 @@
 
 namespace {
 
-// From accepting a connection until its first request is complete, and from the first byte of each later one.
-// Guards against incomplete requests and silent clients, which would hold descriptors.
+// Time limit for a complete request: counted from accepting the connection for the first request, and from
+// the first byte for each later one. Guards against incomplete requests and silent clients, which would hold
+// file descriptors.
 constexpr std::chrono::microseconds kRequestTimeout = std::chrono::milliseconds(2500);
 constexpr std::chrono::microseconds kResponseTimeout = std::chrono::seconds(2);  // to write a response
 constexpr std::chrono::microseconds kIdleTimeout = std::chrono::seconds(60);
-constexpr Time kMinIdleTime = 2'000'000;  // microseconds, where there are nearly too many connections
+// Time in microseconds for which a connection must have been idle to be closed when the server is near
+// capacity.
+constexpr Time kMinIdleTime = 2'000'000;
 constexpr std::chrono::microseconds kLingerTimeout = std::chrono::seconds(1);
 constexpr std::size_t kMaxLingerBytes = 1 << 20;
-// Puts connections without a complete request before all others, in microseconds.
+// Microseconds. Ranks connections without a complete request before all that have had one.
 constexpr Time kUnservedRankOffset = 3'600'000'000;
-constexpr Time kOverloadRetryAfter = 500'000;  // microseconds, for clients rejected for want of memory
+constexpr Time kOverloadRetryAfter = 500'000;  // microseconds, for requests rejected for lack of memory
 
 constexpr unsigned kHttpVersion = 11;
 constexpr unsigned kStatusOk = 200;
@@ -43,7 +46,7 @@
   return text;
 }
 
-// Whether the client has closed the connection or lost it, rather than sent what can't be parsed.
+// Whether the error means that the connection was closed or lost, not that the request cannot be parsed.
 bool is_disconnection(error_code error) {
   return error == http::error::end_of_stream || error == http::error::partial_message ||
          error.category() == net::error::get_system_category() ||
@@ -67,7 +70,7 @@
 
 Time IngressServer::Session::eviction_rank() const {
   if (stage_ == Stage::lingering) return -kNotEvictable;
-  if (stage_ == Stage::answering) return kNotEvictable;
+  if (stage_ == Stage::responding) return kNotEvictable;
   return served_before_ ? stage_since_ : stage_since_ - kUnservedRankOffset;
 }
 
@@ -112,7 +115,8 @@
 
 // ---- Reading. ----
 
-// While draining, the first request of a new connection is still waited for: it may be on its way.
+// The first request of a new connection is waited for even while draining, because it may already be on its
+// way.
 void IngressServer::Session::wait_for_request() {
   stage_ = Stage::idle;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
@@ -133,7 +137,7 @@
     set_timeout(kRequestTimeout);
     return read_header();
   }
-  buffer_ = Buffer(kMaxBufferBytes);  // an idle connection holds no memory
+  buffer_ = Buffer(kMaxBufferBytes);  // frees the memory of the buffer while the connection is idle
   if (server_.draining_) return close();
   set_timeout(kIdleTimeout);
   wait_for_request();
@@ -181,7 +185,8 @@
   });
 }
 
-// Guards against many clients that send large bodies slowly: all bodies together stay under a limit.
+// Reserves memory for the body. Returns false if all bodies together would exceed the limit. Guards against
+// many clients that send large bodies slowly.
 bool IngressServer::Session::reserve_body_memory() {
   std::size_t needed = 0;
   if (const auto length = parser_->content_length())
@@ -198,7 +203,7 @@
   server_.body_bytes_ -= std::exchange(reserved_body_bytes_, 0);
 }
 
-// A request that can't be parsed is answered; an incomplete one of a client that has left is not.
+// Answers a request that cannot be parsed, but not an incomplete one whose client has disconnected.
 void IngressServer::Session::handle_read_error(error_code error) {
   if (is_disconnection(error)) return close();
   const bool too_large = error == http::error::body_limit;
@@ -208,14 +213,14 @@
 // ---- Responses. ----
 
 void IngressServer::Session::process_request() {
-  stage_ = Stage::answering;
+  stage_ = Stage::responding;
   timer_.cancel();
   auto& request = parser_->get();
   close_after_response_ = !request.keep_alive();
   if (request.target() == "/_health") return answer_health_check();
   ParsedRequest parsed = parse_request(request, server_.settings_, server_.names_);
   if (parsed.rejection_status > 0) return reject(parsed.rejection_status, parsed.rejection_reason);
-  server_.take_(std::move(parsed.message), [self = shared_from_this()](const ClientResponse& response) {
+  server_.on_message_(std::move(parsed.message), [self = shared_from_this()](const ClientResponse& response) {
     if (response.rejection_reason.empty())
       self->respond(response);
     else
@@ -227,13 +232,13 @@
   const auto method = parser_->get().method();
   if (method != http::verb::get && method != http::verb::head)
     return reject(kStatusMethodNotAllowed, "method not allowed");
-  respond({server_.ready_() ? kStatusOk : kStatusUnavailable, 0});
+  respond({server_.is_ready_() ? kStatusOk : kStatusUnavailable, 0});
 }
 
-// Nothing that follows the request is read as another one.
+// Rejects the request and closes the connection: the bytes that follow are not read as another request.
 void IngressServer::Session::reject(unsigned status, const char* reason) {
   server_.rejections_.count(reason);
-  stage_ = Stage::answering;
+  stage_ = Stage::responding;
   close_after_response_ = true;
   linger_after_response_ = true;
   respond({status, status == kStatusUnavailable ? kOverloadRetryAfter : 0});
@@ -246,7 +251,8 @@
   response_.result(response.status);
   if (response.retry_after > 0) response_.set(http::field::retry_after, format_seconds(response.retry_after));
   if (response.status == kStatusMethodNotAllowed) response_.set(http::field::allow, "POST");
-  // Guards against clients that send one request and keep the connection: they would take it from others.
+  // Near capacity, connections are closed after the response. Guards against clients that send one request
+  // and keep the connection open, so that none is left for other clients.
   close_after_response_ = close_after_response_ || server_.draining_ || server_.is_near_capacity();
   response_.keep_alive(!close_after_response_);
   response_.prepare_payload();
@@ -264,7 +270,8 @@
   begin_lingering();
 }
 
-// Closing before the rest of a rejected request is read would reset the connection, and the response with it.
+// Guards against a reset: closing the connection before the remaining request is read would reset it, and the
+// client would lose the response.
 void IngressServer::Session::begin_lingering() {
   release_body_memory();
   parser_.reset();
--- a/relay/ingress_session.hpp
+++ b/relay/ingress_session.hpp
@@ -21,37 +21,40 @@
 
 namespace message_relay {
 
-// Reads requests one after the other, has each processed, and writes its response.
+// Reads the requests of a connection one after the other, has each processed, and writes its response.
 class IngressServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  // The rank of a connection that must not be closed.
+  // The eviction rank of a connection that must not be closed.
   static constexpr Time kNotEvictable = std::numeric_limits<Time>::max();
 
   Session(IngressServer& server, boost::asio::ip::tcp::socket socket);
 
-  // Waits for a request on a connection that has been idle since then.
+  // Waits for a request on a connection that has been idle since `idle_since`, in steady microseconds.
   void start(bool served_before, Time idle_since);
 
   bool is_idle() const { return stage_ == Stage::idle; }
   bool is_between_requests() const { return is_idle() || stage_ == Stage::lingering; }
+  // Returns the connection for handover to another process. Only for an idle connection.
   IdleClient handover_state() { return {socket_.native_handle(), served_before_, stage_since_}; }
 
-  // In which order connections are closed where there are too many, lowest first: those whose request was
-  // rejected, those that have never brought a complete request, idle ones. The message of any other would be
-  // lost.
+  // Returns the rank by which connections are closed when there are too many, the lowest first: connections
+  // whose request was rejected, then those without a complete request so far, then the others by the time
+  // since which they have been idle or reading. Closing a connection whose request is being answered would
+  // lose its message, so its rank is kNotEvictable.
   Time eviction_rank() const;
-  // Whether it has been idle long enough to be closed where there are nearly too many.
+  // Whether the connection has been idle long enough to be closed when the server is near capacity. `now` is
+  // a steady time in microseconds.
   bool is_evictable_early(Time now) const;
-  // Closes the connection; false where a request has just come.
+  // Closes the connection. Returns false, and keeps it, if a request has just arrived.
   bool evict();
 
-  // Closes the connection where it is idle; a request that has begun is answered first.
+  // Closes the connection if it is idle. A request that has started to arrive is answered first.
   void drain();
   void close();
 
  private:
-  // Lingering: the rest of a rejected request is read and discarded.
-  enum class Stage { idle, reading, answering, lingering };
+  // lingering: the remaining input after a rejected request is read and discarded.
+  enum class Stage { idle, reading, responding, lingering };
   using Buffer = boost::beast::flat_buffer;
   static constexpr std::size_t kMaxBufferBytes = kMaxHeaderBytes + kMaxBodyBytes;
 
@@ -81,10 +84,10 @@
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
   boost::beast::http::response<boost::beast::http::empty_body> response_;
   Stage stage_ = Stage::idle;
-  Time stage_since_ = 0;  // steady time, microseconds: since when it has been idle, or reading
+  Time stage_since_ = 0;  // steady time in microseconds at which it became idle or started reading
   std::size_t reserved_body_bytes_ = 0;
   std::size_t discarded_bytes_ = 0;  // while lingering
-  bool served_before_ = false;       // a complete request has come
+  bool served_before_ = false;       // whether a complete request has been read
   bool closed_ = false;
   bool close_after_response_ = false;
   bool linger_after_response_ = false;
--- a/relay/request_parser.hpp
+++ b/relay/request_parser.hpp
@@ -1,5 +1,5 @@
-// Validates a client's request and reads the message it submits. Beast has parsed the HTTP; no input or
-// output here.
+// Validates a client's request and extracts the message that it submits. Beast has parsed the HTTP before. No
+// input or output is performed here.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -13,14 +13,15 @@
 
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
 
-// The message, or why the request is rejected.
+// The message, or the reason for which the request is rejected.
 struct ParsedRequest {
   Message message;
-  unsigned rejection_status = 0;      // the HTTP status to answer; 0: the request is valid
-  const char* rejection_reason = "";  // for the log; a literal
+  unsigned rejection_status = 0;      // HTTP status of the response; 0 if the request is valid
+  const char* rejection_reason = "";  // string literal for the log
 };
 
-// Moves the body from the request into the message.
+// Checks the request against the configured classes and tenants. Moves the body from a valid request into the
+// message.
 [[nodiscard]] ParsedRequest parse_request(Request& request, const dispatch::Settings& settings,
                                           const configuration::SettingNames& names);
 
--- a/relay/upgrade.cpp
+++ b/relay/upgrade.cpp
@@ -92,7 +92,7 @@
   state.completed_ids.assign(completed_ids.begin(), completed_ids.end());
   state.calls = parts_.delivery.in_flight_calls();
   state.clients = capture_clients(state.calls.size());
-  state.listener = parts_.ingress.listener();
+  state.listener = parts_.ingress.listener_descriptor();
   return state;
 }
 
