--- a/relay/graceful_shutdown.cpp
+++ b/relay/graceful_shutdown.cpp
@@ -51,7 +51,8 @@
 }
 
 bool GracefulShutdown::clients_finished(Time elapsed) const {
-  return elapsed >= kAcceptPeriod && !parts_.ingress.has_active_connections() && !parts_.admission.has_pending();
+  return elapsed >= kAcceptPeriod && !parts_.ingress.has_active_connections() &&
+         !parts_.admission.has_pending();
 }
 
 }  // namespace message_relay
