--- a/relay/decision_round.cpp
+++ b/relay/decision_round.cpp
@@ -68,7 +68,7 @@
   if (subscribe.enabled)
     parts_.platform.watch();
   else
-    parts_.platform.unwatch();
+    parts_.platform.cancel_watch();
 }
 
 // This relay makes no health checks.
--- a/relay/discovery_client.cpp
+++ b/relay/discovery_client.cpp
@@ -26,26 +26,27 @@
 
 }  // namespace
 
-// One request and its response.
-struct DiscoveryClient::Query {
-  Query(net::io_context& io, QueryKind query_kind) : kind(query_kind), socket(io), timer(io) {
-    // A watch has no end. Beast 1.74 takes no limit for a limit of 0 where the response announces its length.
-    if (kind == QueryKind::watch)
+// One request to discovery and its response.
+struct DiscoveryClient::Request {
+  Request(net::io_context& io, RequestKind request_kind) : kind(request_kind), socket(io), timer(io) {
+    // The response to a watch has no end, so it has no limit. boost::none is needed for that: Beast 1.74
+    // applies no limit to a body whose length is announced if the limit is 0.
+    if (kind == RequestKind::watch)
       parser.body_limit(boost::none);
     else
       parser.body_limit(kMaxListBytes);
   }
 
-  QueryKind kind;
-  bool finished = false;  // completed, failed or cancelled: handlers still to come do nothing
+  RequestKind kind;
+  bool finished = false;  // completed, failed or cancelled; handlers that run afterwards do nothing
   tcp::socket socket;
   net::steady_timer timer;
   beast::flat_buffer buffer{kMaxListBytes};
-  http::request<http::empty_body> request;
+  http::request<http::empty_body> message;
   http::response_parser<http::string_body> parser;
-  JsonStreamSplitter lists;
-  bool response_begun = false;  // its header has come
-  bool list_received = false;
+  JsonStreamSplitter list_splitter;
+  bool response_started = false;  // whether the header has arrived
+  bool list_received = false;     // whether a complete list has arrived
 };
 
 DiscoveryClient::DiscoveryClient(net::io_context& io, tcp::endpoint address,
@@ -62,127 +63,129 @@
 
 void DiscoveryClient::watch() {
   cancel(watch_);
-  start(QueryKind::watch);
+  start(RequestKind::watch);
 }
 
-void DiscoveryClient::unwatch() { cancel(watch_); }
+void DiscoveryClient::cancel_watch() { cancel(watch_); }
 
 void DiscoveryClient::fetch() {
-  if (!poll_) start(QueryKind::poll);
+  if (!fetch_) start(RequestKind::fetch);
 }
 
 void DiscoveryClient::relocate(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  // The service at the new address may number versions anew: everything is queried.
+  // The service at the new address may count versions anew, so the complete list is requested.
   list_version_ = 0;
   needs_snapshot_ = true;
-  // The watch that is begun at the new address brings what these would have.
-  cancel(poll_);
+  // The watch that is started at the new address delivers what these would have delivered.
+  cancel(fetch_);
   cancel(watch_);
   on_loss_(SubscriptionLossReason::relocated);
 }
 
-void DiscoveryClient::cancel(std::shared_ptr<Query>& query) {
-  if (!query) return;
-  query->finished = true;
+void DiscoveryClient::cancel(std::shared_ptr<Request>& request) {
+  if (!request) return;
+  request->finished = true;
   error_code ignored;
-  query->socket.close(ignored);
-  query->timer.cancel();
-  query.reset();
+  request->socket.close(ignored);
+  request->timer.cancel();
+  request.reset();
 }
 
-void DiscoveryClient::start(QueryKind kind) {
-  const auto query = std::make_shared<Query>(io_, kind);
-  (kind == QueryKind::watch ? watch_ : poll_) = query;
-  restart_timeout(query);
-  query->socket.async_connect(address_, [this, query](error_code error) {
-    if (query->finished) return;
-    if (error) return fail(query, error.message());
-    send_request(query);
+void DiscoveryClient::start(RequestKind kind) {
+  const auto request = std::make_shared<Request>(io_, kind);
+  (kind == RequestKind::watch ? watch_ : fetch_) = request;
+  restart_timeout(request);
+  request->socket.async_connect(address_, [this, request](error_code error) {
+    if (request->finished) return;
+    if (error) return fail(request, error.message());
+    send_request(request);
   });
 }
 
-void DiscoveryClient::send_request(const std::shared_ptr<Query>& query) {
-  auto& request = query->request;
-  request.method(http::verb::get);
-  request.version(kHttpVersion);
-  if (query->kind == QueryKind::watch)
-    request.target("/catalog/members?follow=1&since=" + std::to_string(list_version_));
+void DiscoveryClient::send_request(const std::shared_ptr<Request>& request) {
+  auto& message = request->message;
+  message.method(http::verb::get);
+  message.version(kHttpVersion);
+  if (request->kind == RequestKind::watch)
+    message.target("/catalog/members?follow=1&since=" + std::to_string(list_version_));
   else
-    request.target("/catalog/members");
-  request.set(http::field::host, "discovery.svc");
-  http::async_write(query->socket, request, [this, query](error_code error, std::size_t) {
-    if (query->finished) return;
-    if (error) return fail(query, error.message());
-    read_response(query);
+    message.target("/catalog/members");
+  message.set(http::field::host, "discovery.svc");
+  http::async_write(request->socket, message, [this, request](error_code error, std::size_t) {
+    if (request->finished) return;
+    if (error) return fail(request, error.message());
+    read_response(request);
   });
 }
 
-void DiscoveryClient::restart_timeout(const std::shared_ptr<Query>& query) {
-  query->timer.expires_after(query->response_begun ? timeouts_.watch_silence : timeouts_.list_response);
-  query->timer.async_wait([this, query](error_code error) {
-    if (error || query->finished) return;
-    if (query->response_begun)
-      fail(query, "no data within the timeout", SubscriptionLossReason::timed_out);
+void DiscoveryClient::restart_timeout(const std::shared_ptr<Request>& request) {
+  request->timer.expires_after(request->response_started ? timeouts_.watch_silence : timeouts_.list_response);
+  request->timer.async_wait([this, request](error_code error) {
+    if (error || request->finished) return;
+    if (request->response_started)
+      fail(request, "no data within the timeout", SubscriptionLossReason::timed_out);
     else
-      fail(query, "no response within the timeout");
+      fail(request, "no response within the timeout");
   });
 }
 
-void DiscoveryClient::read_response(const std::shared_ptr<Query>& query) {
-  http::async_read_some(query->socket, query->buffer, query->parser,
-                        [this, query](error_code error, std::size_t) {
-                          if (query->finished) return;
-                          if (error) return fail(query, error.message());
-                          process_data(query);
+void DiscoveryClient::read_response(const std::shared_ptr<Request>& request) {
+  http::async_read_some(request->socket, request->buffer, request->parser,
+                        [this, request](error_code error, std::size_t) {
+                          if (request->finished) return;
+                          if (error) return fail(request, error.message());
+                          process_data(request);
                         });
 }
 
-void DiscoveryClient::process_data(const std::shared_ptr<Query>& query) {
-  if (query->parser.is_header_done()) {
-    auto& response = query->parser.get();
+void DiscoveryClient::process_data(const std::shared_ptr<Request>& request) {
+  if (request->parser.is_header_done()) {
+    auto& response = request->parser.get();
     if (response.result() != http::status::ok)
-      return fail(query, "status " + std::to_string(response.result_int()));
-    query->response_begun = true;
-    query->lists.append(std::exchange(response.body(), {}));
-    restart_timeout(query);
-    if (query->lists.buffered_bytes() > kMaxListBytes) return fail(query, "a list too long");
-    if (!process_lists(*query)) return fail(query, "malformed list");
-    if (query->finished) return;
+      return fail(request, "status " + std::to_string(response.result_int()));
+    request->response_started = true;
+    request->list_splitter.append(std::exchange(response.body(), {}));
+    restart_timeout(request);
+    if (request->list_splitter.buffered_bytes() > kMaxListBytes) return fail(request, "a list too long");
+    if (!process_lists(*request)) return fail(request, "malformed list");
+    if (request->finished) return;
   }
-  if (!query->parser.is_done()) return read_response(query);
-  if (query->kind == QueryKind::watch || !query->list_received) return fail(query, "response ended");
-  complete_poll(query);
+  if (!request->parser.is_done()) return read_response(request);
+  if (request->kind == RequestKind::watch || !request->list_received)
+    return fail(request, "response ended unexpectedly");
+  complete_fetch(request);
 }
 
-void DiscoveryClient::complete_poll(const std::shared_ptr<Query>& query) {
-  query->finished = true;
-  query->timer.cancel();
-  poll_.reset();
+void DiscoveryClient::complete_fetch(const std::shared_ptr<Request>& request) {
+  request->finished = true;
+  request->timer.cancel();
+  fetch_.reset();
 }
 
-// Processes the lists that have come completely; false where one is malformed. A handler of a list may cancel
-// the query.
-bool DiscoveryClient::process_lists(Query& query) {
-  while (const auto text = query.lists.next()) {
-    query.list_received = true;
-    if (!process_list(*text, query.kind)) return false;
-    if (query.finished) return true;
+// Processes the lists that have arrived completely. Returns false if one is malformed. The handler of a list
+// may cancel the request.
+bool DiscoveryClient::process_lists(Request& request) {
+  while (const auto text = request.list_splitter.next()) {
+    request.list_received = true;
+    if (!process_list(*text, request.kind)) return false;
+    if (request.finished) return true;
   }
-  return !query.lists.malformed();
+  return !request.list_splitter.malformed();
 }
 
-bool DiscoveryClient::process_list(const std::string& text, QueryKind kind) {
+bool DiscoveryClient::process_list(const std::string& text, RequestKind kind) {
   rapidjson::Document document;
-  // The recursive parser would exhaust the stack on thousands of opening brackets.
+  // The recursive parser would exhaust the stack on input with thousands of opening brackets.
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
   if (document.HasParseError()) return false;
   try {
     EndpointList list = read_endpoint_list(document, "members", names_);
-    // A response to a query that the watch has overtaken is dropped.
-    const bool outdated = kind == QueryKind::poll && watch_ && list.version < list_version_;
-    // After a move only a snapshot replaces what the former address had; changes alone leave it in place.
+    // A fetched list is dropped if the watch has delivered a newer one in the meantime.
+    const bool outdated = kind == RequestKind::fetch && watch_ && list.version < list_version_;
+    // After the service was relocated, only a snapshot replaces the endpoints that the previous address
+    // listed. Changes alone would leave them in place.
     if (list.is_snapshot && !outdated) needs_snapshot_ = false;
     if (!outdated) {
       list_version_ = list.version;
@@ -196,21 +199,22 @@
   }
 }
 
-void DiscoveryClient::fail(const std::shared_ptr<Query>& query, const std::string& cause,
+void DiscoveryClient::fail(const std::shared_ptr<Request>& request, const std::string& cause,
                            SubscriptionLossReason reason) {
-  const char* subject = query->kind == QueryKind::watch ? "watch" : "query";
+  const char* subject = request->kind == RequestKind::watch ? "watch" : "query";
   log(std::string("discovery: ") + subject + " failed: " + cause);
-  query->finished = true;
-  query->timer.cancel();
+  request->finished = true;
+  request->timer.cancel();
   error_code ignored;
-  query->socket.close(ignored);
-  if (watch_ == query) watch_.reset();
-  if (poll_ == query) {
-    poll_.reset();
-    // A snapshot that is due after a move is as overdue as what a watch without data has missed.
+  request->socket.close(ignored);
+  if (watch_ == request) watch_.reset();
+  if (fetch_ == request) {
+    fetch_.reset();
+    // The snapshot that is needed after relocate() is then as overdue as the changes that a timed-out watch
+    // has missed.
     reason = SubscriptionLossReason::timed_out;
   }
-  if (needs_snapshot_) list_version_ = 0;  // the next watch queries everything again
+  if (needs_snapshot_) list_version_ = 0;  // the next watch requests the complete list again
   on_loss_(reason);
 }
 
--- a/relay/discovery_client.hpp
+++ b/relay/discovery_client.hpp
@@ -1,4 +1,4 @@
-// HTTP client of the discovery service: queries the list of endpoints and watches its changes.
+// HTTP client of the discovery service. It fetches the list of endpoints and watches it for changes.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,21 +15,22 @@
 
 namespace message_relay {
 
+// Timeouts of the requests to discovery.
 struct DiscoveryTimeouts {
   std::chrono::microseconds list_response;  // from the start of a request until its response begins
-  std::chrono::microseconds watch_silence;  // between any two pieces of a response that has begun
+  std::chrono::microseconds watch_silence;  // between two pieces of data of a response that has started
 };
 
-// At most one watch and one query are open at a time, each on a connection of its own. A response carries one
-// endpoint list after the other, in JSON.
+// At most one watch and one fetch are open at a time, each on a connection of its own. The body of a response
+// is a sequence of endpoint lists in JSON: one or more for a fetch, without end for a watch.
 class DiscoveryClient {
  public:
   using ListHandler = std::function<void(EndpointList)>;
   using LossHandler = std::function<void(dispatch::event::SubscriptionLossReason)>;
 
-  // `names` must outlive the client. `list_version` is that of the list known so far; the first watch queries
-  // the changes since then. `on_list` gets each list; `on_loss` is called when a watch or a query ends
-  // without having been cancelled.
+  // `names` must outlive the client. `list_version` is the version of the last known list; the first watch
+  // requests the changes since that version. `on_list` receives each list. `on_loss` is called when a watch
+  // or a fetch fails or ends early without having been cancelled, and when relocate() cancels them.
   DiscoveryClient(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
                   const configuration::SettingNames& names, const DiscoveryTimeouts& timeouts,
                   std::int64_t list_version, ListHandler on_list, LossHandler on_loss);
@@ -37,33 +38,34 @@
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Begins a watch of changes, in place of the present one.
+  // Starts a watch for changes. A watch that is already open is cancelled.
   void watch();
   // Cancels the watch, if one is open.
-  void unwatch();
-  // Queries the complete list; does nothing while a query is open.
+  void cancel_watch();
+  // Fetches the complete list. Does nothing while a fetch is open.
   void fetch();
-  // Uses the service at another address from now on. Cancels what is open and reports it as
-  // SubscriptionLossReason::relocated.
+  // Changes the address of the service. Cancels the open watch and fetch, and reports the loss once, as
+  // SubscriptionLossReason::relocated, even if none was open. Does nothing if the address is the present one.
   void relocate(const boost::asio::ip::tcp::endpoint& address);
-  // Version of the list that was received last; 0 after a move.
+  // Returns the version of the list that was received last, or 0 after relocate() until another list is
+  // received.
   std::int64_t list_version() const { return list_version_; }
 
  private:
-  enum class QueryKind { poll, watch };
-  struct Query;
+  enum class RequestKind { fetch, watch };
+  struct Request;
 
-  void start(QueryKind kind);
-  void send_request(const std::shared_ptr<Query>& query);
-  void read_response(const std::shared_ptr<Query>& query);
-  void process_data(const std::shared_ptr<Query>& query);
-  bool process_lists(Query& query);
-  bool process_list(const std::string& text, QueryKind kind);
-  void restart_timeout(const std::shared_ptr<Query>& query);
-  void complete_poll(const std::shared_ptr<Query>& query);
-  void fail(const std::shared_ptr<Query>& query, const std::string& cause,
+  void start(RequestKind kind);
+  void send_request(const std::shared_ptr<Request>& request);
+  void read_response(const std::shared_ptr<Request>& request);
+  void process_data(const std::shared_ptr<Request>& request);
+  bool process_lists(Request& request);
+  bool process_list(const std::string& text, RequestKind kind);
+  void restart_timeout(const std::shared_ptr<Request>& request);
+  void complete_fetch(const std::shared_ptr<Request>& request);
+  void fail(const std::shared_ptr<Request>& request, const std::string& cause,
             dispatch::event::SubscriptionLossReason reason = dispatch::event::SubscriptionLossReason::failed);
-  static void cancel(std::shared_ptr<Query>& query);
+  static void cancel(std::shared_ptr<Request>& request);
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
@@ -72,9 +74,9 @@
   std::int64_t list_version_;
   ListHandler on_list_;
   LossHandler on_loss_;
-  std::shared_ptr<Query> watch_;
-  std::shared_ptr<Query> poll_;
-  bool needs_snapshot_ = false;  // discovery has moved, and no complete list has come since
+  std::shared_ptr<Request> watch_;
+  std::shared_ptr<Request> fetch_;
+  bool needs_snapshot_ = false;  // whether no complete list has arrived since the service was relocated
 };
 
 }  // namespace message_relay
--- a/relay/final_notice_sender.cpp
+++ b/relay/final_notice_sender.cpp
@@ -25,12 +25,12 @@
 constexpr auto kMaxBackoff = std::chrono::milliseconds(1000);
 constexpr std::size_t kMaxResponseBytes = std::size_t{64} * 1024;
 constexpr unsigned kHttpVersion = 11;
-constexpr unsigned kStatusAccepted = 204;
-constexpr unsigned kStatusMalformed = 400;
+constexpr unsigned kStatusNoContent = 204;
+constexpr unsigned kStatusBadRequest = 400;
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 
-// One line of the request's body.
-std::string notice_line(const std::string& client_id, const FinalAnswer& final_answer) {
+// Returns the notice as one line of the request's body.
+std::string to_json_line(const std::string& client_id, const FinalAnswer& final_answer) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
   writer.StartObject();
@@ -53,9 +53,9 @@
 
   std::shared_ptr<tcp::socket> socket;
   net::steady_timer timer;
-  std::vector<MessageId> numbers;  // of the messages whose notices it carries
+  std::vector<MessageId> message_ids;  // of the messages whose notices the request carries
   bool on_new_connection = false;
-  bool finished = false;  // completed, failed or cancelled: handlers still to come do nothing
+  bool finished = false;  // completed, failed or cancelled; handlers that run afterwards do nothing
   beast::flat_buffer buffer{kMaxResponseBytes};
   http::request<http::string_body> message;
   http::response<http::string_body> response;
@@ -73,9 +73,8 @@
       retry_timer_(io) {}
 FinalNoticeSender::~FinalNoticeSender() = default;
 
-void FinalNoticeSender::send(MessageId number, const std::string& client_id,
-                             const FinalAnswer& final_answer) {
-  pending_[number] = notice_line(client_id, final_answer);
+void FinalNoticeSender::send(MessageId id, const std::string& client_id, const FinalAnswer& final_answer) {
+  pending_[id] = to_json_line(client_id, final_answer);
   if (!request_ && !waiting_for_retry_) send_batch();
 }
 
@@ -98,9 +97,9 @@
 std::shared_ptr<FinalNoticeSender::Request> FinalNoticeSender::make_request() {
   auto request = std::make_shared<Request>(io_);
   auto& message = request->message;
-  for (const auto& [number, line] : pending_) {
-    if (request->numbers.size() >= max_batch_size_) break;
-    request->numbers.push_back(number);
+  for (const auto& [id, line] : pending_) {
+    if (request->message_ids.size() >= max_batch_size_) break;
+    request->message_ids.push_back(id);
     message.body() += line;
   }
   message.method(http::verb::post);
@@ -115,8 +114,8 @@
 void FinalNoticeSender::send_batch() {
   request_ = make_request();
   const auto request = request_;
-  // A connection may have fallen silent: nothing would come on it any more, while the messages' time runs
-  // out.
+  // Guards against a connection on which nothing arrives any more without an error: the request would wait
+  // for ever while the deadlines of the messages pass.
   request->timer.expires_after(timeout_);
   request->timer.async_wait([this, request](error_code error) {
     if (!error && !request->finished) fail(request, "no response within the timeout");
@@ -148,7 +147,7 @@
                        if (request->finished) return;
                        if (read_error) return fail(request, read_error.message());
                        const unsigned status = request->response.result_int();
-                       if (status == kStatusAccepted) return complete(request);
+                       if (status == kStatusNoContent) return complete(request);
                        fail(request, "status " + std::to_string(status));
                      });
   });
@@ -161,13 +160,13 @@
   backoff_ = kInitialBackoff;
   timeout_ = initial_timeout_;
   if (request->response.keep_alive()) idle_connection_ = request->socket;
-  acknowledge(request->numbers);
+  acknowledge(request->message_ids);
 }
 
-void FinalNoticeSender::acknowledge(const std::vector<MessageId>& numbers) {
-  for (const MessageId number : numbers) pending_.erase(number);
+void FinalNoticeSender::acknowledge(const std::vector<MessageId>& message_ids) {
+  for (const MessageId id : message_ids) pending_.erase(id);
   if (pending_.empty()) max_batch_size_ = kMaxBatchSize;
-  on_acknowledged_(numbers);
+  on_acknowledged_(message_ids);
   if (!pending_.empty() && !request_) send_batch();
 }
 
@@ -177,24 +176,24 @@
   request_.reset();
   error_code ignored;
   request->socket->close(ignored);
-  if (request->response.result_int() == kStatusMalformed) return handle_rejection(*request);
+  if (request->response.result_int() == kStatusBadRequest) return handle_rejection(*request);
   log("final notices: request failed: " + cause +
       (request->on_new_connection ? "" : " (on a reused connection)"));
-  // Where only an idle connection had been closed, a new one is tried at once.
+  // A reused connection may only have been closed while idle, so a new one is tried at once.
   if (!request->on_new_connection) return send_batch();
   schedule_retry();
 }
 
-// The platform could not read the request. Guards against one malformed notice that holds up all others for
-// ever: they are sent one by one until it is found, and it is dropped.
+// Handles a response that rejects the request as malformed. Guards against one malformed notice that would
+// block all others for ever: notices are sent one by one until it is found, and it is dropped.
 void FinalNoticeSender::handle_rejection(const Request& request) {
-  if (request.numbers.size() > 1) {
+  if (request.message_ids.size() > 1) {
     max_batch_size_ = 1;
     return send_batch();
   }
-  log("final notices: dropped, rejected by the platform as malformed: " + pending_[request.numbers[0]]);
+  log("final notices: dropped, rejected by the platform as malformed: " + pending_[request.message_ids[0]]);
   max_batch_size_ = kMaxBatchSize;
-  acknowledge(request.numbers);
+  acknowledge(request.message_ids);
 }
 
 void FinalNoticeSender::schedule_retry() {
--- a/relay/final_notice_sender.hpp
+++ b/relay/final_notice_sender.hpp
@@ -1,4 +1,4 @@
-// Sends the platform the final answers of messages that are not delivered.
+// Notifies the platform of the final answers of messages that are not delivered.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,25 +15,27 @@
 
 namespace message_relay {
 
-// Sends pending notices in batches, one request at a time, on a connection that is reused, and retries with
-// exponential backoff until the platform has acknowledged them. A notice may be sent more than once, which
-// does no harm.
+// Sends pending notices in batches, one request at a time, over a connection that is reused. Retries with
+// exponential backoff until the platform has acknowledged them. A notice may be sent more than once, which is
+// harmless.
 class FinalNoticeSender {
  public:
   using AcknowledgementHandler = std::function<void(const std::vector<MessageId>&)>;
 
-  // `response_timeout` is the time from the start of a request until its response is complete; it is doubled
-  // with each one that fails in a row, up to a second. `on_acknowledged` gets the numbers of the messages
-  // whose notices the platform has.
+  // `response_timeout` is the time from the start of a request until its response must be complete. It
+  // doubles before each retry, up to one second, until a request succeeds. `on_acknowledged` receives the ids
+  // of the messages whose notices the platform has accepted or rejected as malformed.
   FinalNoticeSender(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
                     std::chrono::microseconds response_timeout, AcknowledgementHandler on_acknowledged);
   ~FinalNoticeSender();
   FinalNoticeSender(const FinalNoticeSender&) = delete;
   FinalNoticeSender& operator=(const FinalNoticeSender&) = delete;
 
-  // Adds the notice for the message that the client knows by `client_id`.
-  void send(MessageId number, const std::string& client_id, const FinalAnswer& final_answer);
-  // Sends to another address from now on, beginning at once with what is pending.
+  // Adds the notice for a message. `client_id` is the id that the client gave it. Sends it at once if no
+  // request is in flight and no retry is pending.
+  void send(MessageId id, const std::string& client_id, const FinalAnswer& final_answer);
+  // Changes the address of the platform. Cancels the request in flight and sends the pending notices at once.
+  // Does nothing if the address is the present one.
   void relocate(const boost::asio::ip::tcp::endpoint& address);
   bool has_pending() const { return !pending_.empty(); }
 
@@ -44,7 +46,7 @@
   std::shared_ptr<Request> make_request();
   void connect(const std::shared_ptr<Request>& request);
   void transmit(const std::shared_ptr<Request>& request);
-  void acknowledge(const std::vector<MessageId>& numbers);
+  void acknowledge(const std::vector<MessageId>& message_ids);
   void complete(const std::shared_ptr<Request>& request);
   void fail(const std::shared_ptr<Request>& request, const std::string& cause);
   void handle_rejection(const Request& request);
@@ -56,10 +58,10 @@
   boost::asio::ip::tcp::endpoint address_;
   std::chrono::microseconds initial_timeout_;
   std::chrono::microseconds timeout_;  // of the next request
-  std::chrono::milliseconds backoff_;  // until the next retry
+  std::chrono::milliseconds backoff_;  // delay of the next retry
   AcknowledgementHandler on_acknowledged_;
-  std::map<MessageId, std::string> pending_;  // notices as JSON lines
-  std::shared_ptr<Request> request_;          // the one in flight
+  std::map<MessageId, std::string> pending_;  // notices as JSON lines, by message
+  std::shared_ptr<Request> request_;          // the request in flight
   std::shared_ptr<boost::asio::ip::tcp::socket> idle_connection_;
   std::size_t max_batch_size_ = kMaxBatchSize;
   boost::asio::steady_timer retry_timer_;
--- a/relay/platform.hpp
+++ b/relay/platform.hpp
@@ -1,4 +1,4 @@
-// Client of the platform: the discovery of endpoints, and the notices of final answers, at one address.
+// Client of the platform, which offers the discovery of endpoints and receives final notices at one address.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,36 +17,38 @@
 
 namespace message_relay {
 
+// Timeouts of the requests to the platform.
 struct PlatformTimeouts {
   std::chrono::microseconds list_response;    // see DiscoveryTimeouts
   std::chrono::microseconds watch_silence;    // see DiscoveryTimeouts
   std::chrono::microseconds notice_response;  // see FinalNoticeSender
 };
 
-// The discovery client and the sender of final notices behind one interface.
+// Combines the discovery client and the sender of final notices.
 class Platform {
  public:
-  using Listed = DiscoveryClient::ListHandler;
-  using Lost = DiscoveryClient::LossHandler;
-  using Noticed = FinalNoticeSender::AcknowledgementHandler;
+  using ListHandler = DiscoveryClient::ListHandler;
+  using LossHandler = DiscoveryClient::LossHandler;
+  using AcknowledgementHandler = FinalNoticeSender::AcknowledgementHandler;
 
   Platform(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
            const configuration::SettingNames& names, const PlatformTimeouts& timeouts,
-           std::int64_t list_version, Listed listed, Lost lost, Noticed noticed);
+           std::int64_t list_version, ListHandler on_list, LossHandler on_loss,
+           AcknowledgementHandler on_acknowledged);
 
   // See DiscoveryClient.
   void watch() { discovery_.watch(); }
-  void unwatch() { discovery_.unwatch(); }
+  void cancel_watch() { discovery_.cancel_watch(); }
   void fetch() { discovery_.fetch(); }
   std::int64_t list_version() const { return discovery_.list_version(); }
 
   // See FinalNoticeSender.
-  void send_final_notice(MessageId number, const std::string& client_id, const FinalAnswer& final_answer) {
-    notices_.send(number, client_id, final_answer);
+  void send_final_notice(MessageId id, const std::string& client_id, const FinalAnswer& final_answer) {
+    notices_.send(id, client_id, final_answer);
   }
   bool has_pending_notices() const { return notices_.has_pending(); }
 
-  // The platform is found elsewhere from now on.
+  // Changes the address of both the discovery client and the sender of final notices.
   void relocate(const boost::asio::ip::tcp::endpoint& address);
 
  private:
