--- a/relay/file_descriptor.hpp
+++ b/relay/file_descriptor.hpp
@@ -7,7 +7,7 @@
 
 namespace message_relay {
 
-// Owns one file descriptor and closes it when destroyed; holds none where the number is negative.
+// Owns one file descriptor and closes it when destroyed. A negative number means that it owns none.
 class FileDescriptor {
  public:
   explicit FileDescriptor(int fd = -1) : fd_(fd) {}
@@ -26,7 +26,7 @@
   }
 
   int get() const { return fd_; }
-  // Gives up ownership: the caller closes the descriptor.
+  // Gives up ownership and returns the descriptor, which the caller must close.
   int release() { return std::exchange(fd_, -1); }
   explicit operator bool() const { return fd_ >= 0; }
 
--- a/relay/gossip_channel.hpp
+++ b/relay/gossip_channel.hpp
@@ -1,4 +1,4 @@
-// Gossip between relays: datagrams over UDP, which may be late, lost or repeated.
+// Gossip between relays over UDP. Datagrams may be late, lost or duplicated.
 #pragma once
 
 #include <array>
@@ -13,39 +13,41 @@
 
 namespace message_relay {
 
+// Sends payloads to the other relays and receives theirs.
 class GossipChannel {
  public:
   static constexpr std::size_t kMaxPayloadBytes = 256;
 
-  // Gets the position of the sender among the peers, and the payload.
-  using Heard = std::function<void(int from, std::string body)>;
+  // Receives the rank of the sender, its index among the peers, and the payload.
+  using PayloadHandler = std::function<void(int sender_rank, std::string payload)>;
 
-  // Listens from now on; where that fails, it is logged, and nothing will be received. `peers` are all relays
-  // by rank, `all` the address that reaches every one of them. Datagrams of others, and of this relay itself,
-  // are dropped.
+  // Starts listening. If that fails, the error is logged and nothing will be received. `peers` are the
+  // addresses of all relays by rank, this one included. `broadcast_address` is an address that reaches all of
+  // them. Datagrams from this relay itself or from an address that is not among the peers are dropped.
   GossipChannel(boost::asio::io_context& io, const boost::asio::ip::udp::endpoint& listen,
                 std::vector<boost::asio::ip::udp::endpoint> peers,
-                std::optional<boost::asio::ip::udp::endpoint> all, int own_rank, Heard heard);
+                std::optional<boost::asio::ip::udp::endpoint> broadcast_address, int own_rank,
+                PayloadHandler on_payload);
 
-  // Sends to the peer of this rank, or to every peer where it is negative. A payload longer than
-  // kMaxPayloadBytes is logged and not sent.
+  // Sends the payload to the peer of rank `recipient`, or to the broadcast address if it is negative. Sends
+  // nothing if there is no such address. A payload longer than kMaxPayloadBytes is not sent, which is logged.
   void send(int recipient, const std::string& payload);
 
  private:
   [[nodiscard]] boost::system::error_code open(const boost::asio::ip::udp::endpoint& listen);
-  std::optional<boost::asio::ip::udp::endpoint> address_of(int recipient) const;
+  std::optional<boost::asio::ip::udp::endpoint> recipient_address(int recipient) const;
   void receive();
   void retry_receive();
-  void deliver(std::size_t size);
+  void process_datagram(std::size_t size);
 
   boost::asio::ip::udp::socket socket_;
   boost::asio::steady_timer retry_timer_;
   std::vector<boost::asio::ip::udp::endpoint> peers_;
-  std::optional<boost::asio::ip::udp::endpoint> all_peers_;
+  std::optional<boost::asio::ip::udp::endpoint> broadcast_address_;
   int own_rank_;
-  Heard heard_;
+  PayloadHandler on_payload_;
   boost::asio::ip::udp::endpoint sender_;
-  // One byte more than a payload may have, so that a longer one is recognized.
+  // One byte longer than the longest payload, so that a longer datagram is recognized.
   std::array<char, kMaxPayloadBytes + 1> buffer_{};
 };
 
--- a/relay/http_framing.cpp
+++ b/relay/http_framing.cpp
@@ -11,8 +11,8 @@
 
 constexpr unsigned kHttp11 = 11;
 
-// Beast accepts a list of equal lengths ("3, 3").
-bool is_plain_number(beast::string_view text) {
+// Guards against a list of equal lengths ("3, 3"), which Beast accepts as a Content-Length.
+bool is_decimal_number(beast::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
@@ -23,7 +23,7 @@
   const auto coding_count = header.count(http::field::transfer_encoding);
   if (coding_count == 0) {
     if (length_count == 0) return true;
-    return length_count == 1 && is_plain_number(header[http::field::content_length]);
+    return length_count == 1 && is_decimal_number(header[http::field::content_length]);
   }
   return length_count == 0 && coding_count == 1 && version >= kHttp11 &&
          beast::iequals(header[http::field::transfer_encoding], "chunked");
--- a/relay/json_stream_splitter.cpp
+++ b/relay/json_stream_splitter.cpp
@@ -29,7 +29,7 @@
       return value;
     }
   }
-  if (depth_ == 0) discard_before(buffer_.size());  // only white space
+  if (depth_ == 0) discard_before(buffer_.size());  // the buffer holds only white space
   return std::nullopt;
 }
 
--- a/relay/json_stream_splitter.hpp
+++ b/relay/json_stream_splitter.hpp
@@ -1,4 +1,4 @@
-// Splits a stream of JSON values, however it is broken into lines or pieces.
+// Splits a stream of JSON values, whatever its line breaks and the pieces in which it arrives.
 #pragma once
 
 #include <cstddef>
@@ -7,16 +7,17 @@
 
 namespace message_relay {
 
-// Values are objects and arrays, with nothing but white space between them.
+// The values must be objects or arrays with only white space between them.
 class JsonStreamSplitter {
  public:
   void append(const std::string& bytes) { buffer_ += bytes; }
-  // The next complete value; nothing where more bytes are needed. Its content is not validated.
+  // Returns the next complete value, or nothing if more bytes are needed or the stream is malformed. The
+  // content of the value is not validated.
   [[nodiscard]] std::optional<std::string> next();
-  // Whether something between the values is neither white space nor the start of a value. The stream can't be
-  // split any further then.
+  // Whether a character between two values is neither white space nor the start of a value. The stream cannot
+  // be split any further then.
   bool malformed() const { return malformed_; }
-  // Bytes of the value that is not complete yet.
+  // Returns the number of bytes that are buffered and not returned as values yet.
   std::size_t buffered_bytes() const { return buffer_.size(); }
 
  private:
@@ -24,10 +25,10 @@
   void discard_before(std::size_t position);
 
   std::string buffer_;
-  std::size_t position_ = 0;  // scanned up to here
-  std::size_t depth_ = 0;     // of brackets that are open
+  std::size_t position_ = 0;  // of the next character to scan
+  std::size_t depth_ = 0;     // nesting depth: the number of open brackets
   bool in_string_ = false;
-  bool escaped_ = false;  // the next character belongs to an escape sequence
+  bool escaped_ = false;  // whether an unescaped backslash precedes the next character
   bool malformed_ = false;
 };
 
