--- a/relay/handover.cpp
+++ b/relay/handover.cpp
@@ -26,49 +26,50 @@
 
 namespace {
 
-// The words of the exchange. Earlier builds send and expect just these, "heronvane" among them, the program's
-// former name. The greeting says what follows, and in which form: another one is not understood.
+// The messages of the protocol. Earlier builds send and expect exactly these texts, including "heronvane",
+// the program's former name. The greeting names the protocol and its version; a request with any other
+// greeting is dropped.
 const std::string kGreeting = "heronvane handover 1\n";
 const std::string kReady = "ready";
-const std::string kYours = "yours";
-const std::string kTaken = "taken";
+const std::string kOwnershipGranted = "yours";
+const std::string kOwnershipTaken = "taken";
 
-// For a process that connected, to send its greeting.
+// Time limit for a process that has connected to send its greeting.
 constexpr auto kGreetingTimeout = std::chrono::seconds(1);
-// Between two requests to the owner.
+// Interval between two requests to the owner.
 constexpr auto kRequestInterval = std::chrono::milliseconds(20);
-// Each read and write of the owner, while it may still go on by itself.
-constexpr auto kOwnerTimeout = std::chrono::milliseconds(500);
-constexpr auto kNoTimeout = std::chrono::milliseconds(0);
+// Time limit for each read and write of the owner while it can still abandon the handover and keep serving.
+constexpr auto kOwnerIoTimeout = std::chrono::milliseconds(500);
+constexpr auto kNoIoTimeout = std::chrono::milliseconds(0);
 constexpr auto kAcceptRetryInterval = std::chrono::milliseconds(50);
 constexpr int kListenBacklog = 4;
 constexpr mode_t kLockFileMode = 0600;
 
-// Stored in the state folder: earlier builds look for them under these names.
+// Paths of files in the state folder. Earlier builds use the same names.
 std::string lock_path(const std::string& folder) { return folder + "/lock"; }
 std::string socket_path(const std::string& folder) { return folder + "/handover"; }
 
-[[noreturn]] void throw_system_error(const std::string& what) {
-  throw std::system_error(errno, std::generic_category(), "handover: " + what);
+[[noreturn]] void throw_system_error(const std::string& context) {
+  throw std::system_error(errno, std::generic_category(), "handover: " + context);
 }
 
 // ---- The new process. ----
 
-// What has come from the owner. The descriptors are closed again unless this process takes over.
-struct Incoming {
+// What the owner has sent so far. The descriptors are closed again unless this process takes over.
+struct ReceivedHandover {
   StartupOwnership ownership;
-  std::vector<FileDescriptor> descriptors;  // those that the state names
+  std::vector<FileDescriptor> descriptors;  // those that the inherited state refers to
 };
 
 enum class RecordResult { more, complete, malformed };
 
-// Takes one record with its descriptor over into `incoming`. Throws as the decode functions do.
-RecordResult receive_record(const std::string& payload, FileDescriptor fd, Incoming& incoming) {
-  HandoverState& state = *incoming.ownership.inherited;
+// Adds one record and its descriptor to `received`. Throws the same exceptions as the decode functions.
+RecordResult receive_record(const std::string& payload, FileDescriptor fd, ReceivedHandover& received) {
+  HandoverState& state = *received.ownership.inherited;
   BinaryReader in(payload);
   const HandoverRecordTag tag = decode_tag(in);
   if (tag == HandoverRecordTag::end) {
-    const bool complete = static_cast<bool>(incoming.ownership.lock) && state.listener >= 0;
+    const bool complete = static_cast<bool>(received.ownership.lock) && state.listener >= 0;
     return complete ? RecordResult::complete : RecordResult::malformed;
   }
   if (tag == HandoverRecordTag::state) {
@@ -77,7 +78,7 @@
   }
   if (!fd) return RecordResult::malformed;
   if (tag == HandoverRecordTag::folder_lock) {
-    incoming.ownership.lock = std::move(fd);
+    received.ownership.lock = std::move(fd);
     return RecordResult::more;
   }
   if (tag == HandoverRecordTag::listener) state.listener = fd.get();
@@ -89,23 +90,23 @@
     state.calls.push_back(decode_call(in));
     state.calls.back().socket = fd.get();
   }
-  incoming.descriptors.push_back(std::move(fd));
+  received.descriptors.push_back(std::move(fd));
   return RecordResult::more;
 }
 
-// False where the records break off or are malformed.
-bool receive_records(HandoverChannel& channel, Incoming& incoming) {
-  incoming.ownership.inherited.emplace();
+// Returns false if the records are incomplete or malformed.
+bool receive_records(HandoverChannel& channel, ReceivedHandover& received) {
+  received.ownership.inherited.emplace();
   std::string payload;
   while (true) {
     FileDescriptor fd;
     if (!channel.receive(payload, fd)) return false;
-    const RecordResult result = receive_record(payload, std::move(fd), incoming);
+    const RecordResult result = receive_record(payload, std::move(fd), received);
     if (result != RecordResult::more) return result == RecordResult::complete;
   }
 }
 
-// No channel where the owner does not listen.
+// Returns std::nullopt if the owner does not listen.
 std::optional<HandoverChannel> connect_to_owner(const std::string& folder) {
   FileDescriptor socket(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
   if (!socket) throw_system_error("socket");
@@ -119,22 +120,23 @@
   return HandoverChannel(std::move(socket));
 }
 
-// One attempt to take over from the owner.
+// Makes one attempt to take over from the owner. Returns std::nullopt if this process did not become the
+// owner.
 std::optional<StartupOwnership> request_ownership(const std::string& folder) {
   std::optional<HandoverChannel> channel = connect_to_owner(folder);
   if (!channel) return std::nullopt;
-  Incoming incoming;
+  ReceivedHandover received;
   try {
-    if (!channel->send(kGreeting) || !receive_records(*channel, incoming)) return std::nullopt;
+    if (!channel->send(kGreeting) || !receive_records(*channel, received)) return std::nullopt;
   } catch (const std::exception& e) {
-    log(std::string("handover: can't be read: ") + e.what());
+    log(std::string("handover: malformed record from the owner: ") + e.what());
     return std::nullopt;
   }
-  if (!channel->send(kReady) || !channel->receive_word(kYours)) return std::nullopt;
-  // From here on this process owns all, whether the other one still receives the word or not.
-  channel->send(kTaken);
-  for (FileDescriptor& fd : incoming.descriptors) fd.release();
-  return std::move(incoming.ownership);
+  if (!channel->send(kReady) || !channel->receive_exactly(kOwnershipGranted)) return std::nullopt;
+  // From here on this process owns the folder, whether or not the other one still receives the message.
+  channel->send(kOwnershipTaken);
+  for (FileDescriptor& fd : received.descriptors) fd.release();
+  return std::move(received.ownership);
 }
 
 // ---- The folder's lock. ----
@@ -170,7 +172,7 @@
     FileDescriptor file = open_lock_file(path);
     const LockResult result = lock_without_waiting(file, path);
     if (result == LockResult::unsupported)
-      // Whoever starts is the owner then: the platform ends the process before it.
+      // Without locks the process that starts becomes the owner: the platform ends the previous one first.
       log("handover: " + path + ": " + std::strerror(errno) + "; going on without a lock");
     if (result != LockResult::owned_by_another) return {std::move(file), std::nullopt};
     if (auto ownership = request_ownership(folder)) return std::move(*ownership);
@@ -196,15 +198,15 @@
 }  // namespace
 
 bool hand_over(HandoverChannel& channel, const HandoverState& state, int lock) {
-  channel.set_timeout(kOwnerTimeout);
-  if (!send_records(channel, state, lock) || !channel.receive_word(kReady)) return false;
-  // From here on only the other process's word, or its end, tells who owns all: however long that takes,
-  // nothing may be done.
-  channel.set_timeout(kNoTimeout);
-  return channel.send(kYours) && channel.receive_word(kTaken);
+  channel.set_timeout(kOwnerIoTimeout);
+  if (!send_records(channel, state, lock) || !channel.receive_exactly(kReady)) return false;
+  // From here on only the reply of the other process, or its end, tells which of the two owns the folder.
+  // This process must not act until then, however long that takes.
+  channel.set_timeout(kNoIoTimeout);
+  return channel.send(kOwnershipGranted) && channel.receive_exactly(kOwnershipTaken);
 }
 
-// A process that has connected and is to send its greeting.
+// A connection whose greeting has not been received yet.
 struct HandoverListener::PendingRequest {
   PendingRequest(net::io_context& io, LocalProtocol::socket connected)
       : socket(std::move(connected)), timer(io) {}
@@ -218,8 +220,8 @@
 HandoverListener::HandoverListener(net::io_context& io, const std::string& folder, RequestHandler on_request)
     : io_(io), acceptor_(io), accept_timer_(io), on_request_(std::move(on_request)) {
   const std::string path = socket_path(folder);
-  if (const error_code bad = listen(path))
-    log("handover: " + path + ": " + bad.message() + "; a next process has to wait for this one's end");
+  if (const error_code error = listen(path))
+    log("handover: " + path + ": " + error.message() + "; a next process has to wait for this one's end");
   else
     accept();
 }
@@ -227,19 +229,19 @@
 HandoverListener::~HandoverListener() = default;
 
 error_code HandoverListener::listen(const std::string& path) {
-  ::unlink(path.c_str());  // of the process that owned the folder before
+  ::unlink(path.c_str());  // the socket file of the previous owner
   if (path.size() >= sizeof(sockaddr_un::sun_path)) return net::error::name_too_long;
-  error_code bad;
-  acceptor_.open(LocalProtocol(), bad);
-  if (!bad) acceptor_.bind(LocalProtocol::endpoint(path), bad);
-  if (!bad) acceptor_.listen(kListenBacklog, bad);
-  return bad;
+  error_code error;
+  acceptor_.open(LocalProtocol(), error);
+  if (!error) acceptor_.bind(LocalProtocol::endpoint(path), error);
+  if (!error) acceptor_.listen(kListenBacklog, error);
+  return error;
 }
 
 void HandoverListener::accept() {
-  acceptor_.async_accept([this](error_code bad, LocalProtocol::socket socket) {
-    if (bad == net::error::operation_aborted) return;
-    if (bad)
+  acceptor_.async_accept([this](error_code error, LocalProtocol::socket socket) {
+    if (error == net::error::operation_aborted) return;
+    if (error)
       accept_later();
     else
       read_greeting(std::move(socket));
@@ -248,32 +250,32 @@
 
 void HandoverListener::accept_later() {
   accept_timer_.expires_after(kAcceptRetryInterval);
-  accept_timer_.async_wait([this](error_code stopped) {
-    if (!stopped) accept();
+  accept_timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) accept();
   });
 }
 
-// One at a time: the next one is accepted once this one is through.
+// Handles one connection at a time: the next one is accepted after this greeting has been read or has failed.
 void HandoverListener::read_greeting(LocalProtocol::socket socket) {
   const auto request = std::make_shared<PendingRequest>(io_, std::move(socket));
   request->timer.expires_after(kGreetingTimeout);
-  request->timer.async_wait([request](error_code stopped) {
+  request->timer.async_wait([request](error_code cancelled) {
     error_code ignored;
-    if (!stopped) request->socket.close(ignored);
+    if (!cancelled) request->socket.close(ignored);
   });
   net::async_read(request->socket, net::buffer(request->received),
-                  [this, request](error_code bad, std::size_t) {
+                  [this, request](error_code error, std::size_t) {
                     request->timer.cancel();
-                    if (!bad && request->received == request->expected) finish(*request);
+                    if (!error && request->received == request->expected) invoke_handler(*request);
                     accept();
                   });
 }
 
-void HandoverListener::finish(PendingRequest& request) {
-  error_code bad;
-  request.socket.native_non_blocking(false, bad);
-  FileDescriptor socket(request.socket.release(bad));
-  if (!bad) on_request_(HandoverChannel(std::move(socket)));
+void HandoverListener::invoke_handler(PendingRequest& request) {
+  error_code error;
+  request.socket.native_non_blocking(false, error);
+  FileDescriptor socket(request.socket.release(error));
+  if (!error) on_request_(HandoverChannel(std::move(socket)));
 }
 
 }  // namespace message_relay
--- a/relay/handover_channel.cpp
+++ b/relay/handover_channel.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::uint32_t kMaxFrameBytes = 64U << 20U;
 
-// Holds the one descriptor that goes along with a frame.
+// Ancillary data with room for the one descriptor of a frame.
 struct ControlBuffer {
   alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> bytes{};
 };
@@ -37,8 +37,9 @@
   std::memcpy(CMSG_DATA(header), &fd, sizeof fd);
 }
 
-// The descriptor that came along with a message, if any; of several the last.
-FileDescriptor received_descriptor(msghdr& message) {
+// Returns the descriptor that came with a message, if any. If there are several, it returns the last one and
+// closes the others.
+FileDescriptor take_descriptor(msghdr& message) {
   FileDescriptor received;
   for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr; header = CMSG_NXTHDR(&message, header)) {
     if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
@@ -75,10 +76,10 @@
 
 bool HandoverChannel::read(char* bytes, std::size_t size, FileDescriptor* fd) {
   ControlBuffer control;
-  for (std::size_t done = 0; done < size;) {
+  for (std::size_t bytes_read = 0; bytes_read < size;) {
     iovec remaining{};
-    remaining.iov_base = bytes + done;
-    remaining.iov_len = size - done;
+    remaining.iov_base = bytes + bytes_read;
+    remaining.iov_len = size - bytes_read;
     msghdr message{};
     message.msg_iov = &remaining;
     message.msg_iovlen = 1;
@@ -87,9 +88,9 @@
     const auto received = ::recvmsg(socket_.get(), &message, MSG_CMSG_CLOEXEC);
     if (received < 0 && errno == EINTR) continue;
     if (received <= 0) return false;
-    FileDescriptor came_along = received_descriptor(message);
-    if (came_along && fd != nullptr) *fd = std::move(came_along);
-    done += static_cast<std::size_t>(received);
+    FileDescriptor attached = take_descriptor(message);
+    if (attached && fd != nullptr) *fd = std::move(attached);
+    bytes_read += static_cast<std::size_t>(received);
   }
   return true;
 }
@@ -101,10 +102,10 @@
   return read(payload.data(), size, nullptr);
 }
 
-bool HandoverChannel::receive_word(const std::string& word) {
+bool HandoverChannel::receive_exactly(const std::string& expected) {
   std::string payload;
   FileDescriptor unused;
-  return receive(payload, unused) && payload == word;
+  return receive(payload, unused) && payload == expected;
 }
 
 }  // namespace message_relay
--- a/relay/handover_state.cpp
+++ b/relay/handover_state.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-const std::string kFieldPath = "handover";  // names the source of a malformed address
+// Names the source of a malformed address in error messages.
+const std::string kFieldPath = "handover";
 
 BinaryWriter begin_record(HandoverRecordTag tag) {
   BinaryWriter record;
@@ -15,7 +16,7 @@
   return record;
 }
 
-// A count goes ahead of the elements of a list.
+// Writes the number of elements that precedes the elements of a list.
 template <class List>
 void write_count(BinaryWriter& out, const List& list) {
   out.number(static_cast<std::uint32_t>(list.size()));
@@ -52,7 +53,7 @@
   return listed;
 }
 
-// Of messages in flight only what ends them is sent: their bodies are in the journal.
+// Writes only the fields that are needed to complete a message in flight. The body is in the journal.
 void write_message(BinaryWriter& out, const OutgoingMessage& message) {
   out.number(message.id).number(message.attempt).number(message.timeout).text(message.client_id);
 }
@@ -66,7 +67,7 @@
   return message;
 }
 
-// An outcome follows the flag in any case, so that all have one size.
+// Writes an outcome after the flag even where there is none, so that the field has a fixed size.
 void write_given_up(BinaryWriter& out, const std::optional<Outcome>& given_up) {
   out.number(given_up.has_value()).number(given_up.value_or(Outcome::timeout));
 }
@@ -88,7 +89,7 @@
   record.number(state.endpoint_list.version)
       .number(state.list_received)
       .number(state.paused)
-      .number(state.next_number)
+      .number(state.next_message_id)
       .text(state.learned_state);
   write_count(record, state.endpoint_list.entries);
   for (const ListedEndpoint& listed : state.endpoint_list.entries) write_listed_endpoint(record, listed);
@@ -107,7 +108,7 @@
   state.endpoint_list.version = in.number<std::int64_t>();
   state.list_received = in.number<bool>();
   state.paused = in.number<bool>();
-  state.next_number = in.number<MessageId>();
+  state.next_message_id = in.number<MessageId>();
   state.learned_state = in.text();
   read_list(in, [&] { state.endpoint_list.entries.push_back(read_listed_endpoint(in)); });
   read_list(in, [&] { state.ever_listed.push_back(in.text()); });
--- a/relay/handover_state.hpp
+++ b/relay/handover_state.hpp
@@ -1,6 +1,6 @@
-// What passes from one process to the next besides the journal, and the form in which it is sent.
+// The state that a process hands over besides the journal, and its binary encoding.
 //
-// The form is exchanged between builds: tags, the order of fields and their sizes must not change.
+// Different builds exchange this encoding: tags, the order of fields and their sizes must not change.
 #pragma once
 
 #include <cstdint>
@@ -16,23 +16,23 @@
 
 namespace message_relay {
 
-// The descriptors in it are of the process that holds the state. It does not own them.
+// The descriptors are valid in the process that holds this state. The state does not own them.
 struct HandoverState {
-  EndpointList endpoint_list;  // with its version
-  bool list_received = false;  // from discovery, by this process or one before it
-  bool paused = false;         // by operators
-  // Messages count on from here. Calls in flight may carry an earlier number, though its message is over.
-  MessageId next_number = 1;
-  std::string learned_state;  // by the dispatcher
-  std::vector<std::string> ever_listed;
-  std::vector<std::int64_t> destinations;  // that any list has named
+  EndpointList endpoint_list;  // current list of endpoints, with its version
+  bool list_received = false;  // whether this process or a predecessor has received a list from discovery
+  bool paused = false;         // whether operators have paused the relay
+  // Id of the next message. Calls in flight may carry a smaller id whose message has already completed.
+  MessageId next_message_id = 1;
+  std::string learned_state;               // the dispatcher's learned state
+  std::vector<std::string> ever_listed;    // ids of all endpoints that any list has named
+  std::vector<std::int64_t> destinations;  // all destinations that any list has named
   std::vector<CompletedId> completed_ids;
   std::vector<IdleClient> clients;
   std::vector<InFlightCall> calls;
-  int listener = -1;
+  int listener = -1;  // the listening socket for clients; -1: not set
 };
 
-// First byte of each record. Each but `state` and `end` comes with a descriptor.
+// The first byte of each record. All records except `state` and `end` carry a descriptor.
 enum class HandoverRecordTag : char {
   state = 'S',
   folder_lock = 'K',
@@ -42,14 +42,15 @@
   end = 'E',
 };
 
-// Each writes one record, with its tag.
+// Each of these functions encodes one record, including its tag.
 [[nodiscard]] std::string encode_tag(HandoverRecordTag tag);
 [[nodiscard]] std::string encode_state(const HandoverState& state);
 [[nodiscard]] std::string encode_client(const IdleClient& client);
 [[nodiscard]] std::string encode_call(const InFlightCall& call);
 
-// Each reads the rest of a record, behind its tag. Descriptors are left to the caller. Throws
-// std::runtime_error on a short record and configuration::FieldError on a malformed address.
+// decode_tag() reads the tag of a record; the other functions read the fields after the tag. The caller
+// assigns the descriptors. All throw std::runtime_error if the record is too short and
+// configuration::FieldError if an address is malformed.
 [[nodiscard]] HandoverRecordTag decode_tag(BinaryReader& in);
 void decode_state(BinaryReader& in, HandoverState& state);
 [[nodiscard]] IdleClient decode_client(BinaryReader& in);
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -130,7 +130,7 @@
 void Relay::restore_inherited(const HandoverState& state) {
   readiness_.set_paused(state.paused);
   directory_.restore(state.list_received, state.ever_listed, state.destinations);
-  registry_.restore(state.next_number, state.completed_ids);
+  registry_.restore(state.next_message_id, state.completed_ids);
   events_.add_without_round(event::LearnedStateRestored{state.learned_state});
   for (const auto& call : state.calls) delivery_.adopt(call);
 }
--- a/relay/upgrade.hpp
+++ b/relay/upgrade.hpp
@@ -1,7 +1,7 @@
-// Upgrade: hands this process's state over to a successor and ends this process.
+// Upgrade: hands this process's state over to a successor process and then ends this process.
 //
-// Invariant: until the successor confirms, this process has given nothing away and goes on serving; once it
-// has confirmed, this process does nothing more.
+// Invariant: until the successor has confirmed the handover, this process has given up nothing and keeps
+// serving. After the confirmation this process does nothing more.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,6 +15,7 @@
 
 namespace message_relay {
 
+// The owner's side of an upgrade: decides when to hand over and collects the state.
 class Upgrade {
  public:
   struct Collaborators {
@@ -33,18 +34,19 @@
     IngressServer& ingress;
   };
 
-  // `folder_lock` is the descriptor of the state folder's lock, which passes on.
+  // `folder_lock` is the descriptor of the state folder's lock. It is handed over to the successor as well.
   Upgrade(boost::asio::io_context& io, const Config& config, int folder_lock,
           const Collaborators& collaborators);
 
-  // A successor asks to take over. The newest is served: one that asked before may have left since, and asks
-  // again if it has not.
+  // Handles the request of a successor to take over. Replaces an earlier request that is still waiting: its
+  // process may have ended since, and sends a new request if it has not.
   void request(HandoverChannel successor);
 
  private:
   void hand_over_when_quiescent();
   void hand_over();
-  // Calls that are being connected or written and requests that are being read can't change hands.
+  // Whether nothing is in progress that can't be handed over, such as calls that are being connected or
+  // written and requests that are being read.
   [[nodiscard]] bool is_quiescent() const;
   [[nodiscard]] HandoverState capture_state() const;
   [[nodiscard]] EndpointList capture_endpoint_list() const;
@@ -52,10 +54,10 @@
 
   const Config& config_;
   int folder_lock_;
-  Collaborators parts_;
+  Collaborators collaborators_;
   boost::asio::steady_timer timer_;
   std::optional<HandoverChannel> successor_;
-  Time requested_at_ = 0;  // by the first of the successors that has not been served
+  Time requested_at_ = 0;  // steady time of the earliest request that has not been served
 };
 
 }  // namespace message_relay
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -82,7 +82,7 @@
   const FileDescriptor near(pair[0]), far(pair[1]);
 
   HandoverState given;
-  given.endpoint_list.version = 41, given.list_received = given.paused = true, given.next_number = 1234;
+  given.endpoint_list.version = 41, given.list_received = given.paused = true, given.next_message_id = 1234;
   ListedEndpoint m;
   m.endpoint.id = "s-1", m.endpoint.destination = 7, m.endpoint.zone = 1, m.endpoint.kind = 2;
   m.endpoint.status = dispatch::EndpointStatus::draining, m.endpoint.weight = 2.5, m.endpoint.added_at = -9;
@@ -117,7 +117,7 @@
   const HandoverState& e = *got.inherited;
   EXPECT_EQ(e.endpoint_list.version, 41);
   EXPECT_TRUE(e.list_received && e.paused);
-  EXPECT_EQ(e.next_number, 1234U);
+  EXPECT_EQ(e.next_message_id, 1234U);
   ASSERT_EQ(e.endpoint_list.entries.size(), 1U);
   const auto& x = e.endpoint_list.entries[0].endpoint;
   EXPECT_EQ(x.id, "s-1");
@@ -254,7 +254,7 @@
           EXPECT_TRUE(channel.send("ready"));
         }
         if (step >= 3) {
-          EXPECT_TRUE(channel.receive_word("yours"));
+          EXPECT_TRUE(channel.receive_exactly("yours"));
         }
       }
     }
@@ -285,7 +285,7 @@
       members = member("s-1", endpoint.address());
       spawn(config());
       HandoverChannel channel(FileDescriptor(::accept(listening.get(), nullptr, nullptr)));
-      EXPECT_TRUE(channel.receive_word(kHello));
+      EXPECT_TRUE(channel.receive_exactly(kHello));
       if (step >= 1) {
         EXPECT_TRUE(channel.send("K", lock.get()));
       }
@@ -293,7 +293,7 @@
         EXPECT_TRUE(channel.send("L", listening.get()));
       }
       if (step >= 3) {
-        EXPECT_TRUE(channel.send("E") && channel.receive_word("ready"));
+        EXPECT_TRUE(channel.send("E") && channel.receive_exactly("ready"));
       }
       listening = FileDescriptor();
     }
