--- a/relay/log.cpp
+++ b/relay/log.cpp
@@ -21,12 +21,12 @@
 }
 
 void CountingLog::count(const char* reason) {
-  const bool line_is_due = !counts_.empty();
+  const bool line_scheduled = !counts_.empty();
   counts_[reason]++;
-  if (line_is_due) return;
+  if (line_scheduled) return;
   timer_.expires_after(kCountInterval);
-  timer_.async_wait([this](boost::system::error_code bad) {
-    if (!bad) write_counts();
+  timer_.async_wait([this](boost::system::error_code error) {
+    if (!error) write_counts();
   });
 }
 
--- a/relay/log.hpp
+++ b/relay/log.hpp
@@ -1,5 +1,5 @@
-// The log on standard error: one line for each notable event, with the wall time; frequent events are
-// counted.
+// The log on standard error: one line for each notable event, with the wall-clock time. Frequent events are
+// counted and logged as a summary.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,17 +9,17 @@
 
 namespace message_relay {
 
-// Writes one line; `line` comes without its line feed.
+// Writes one line. `line` has no line feed.
 void log(const std::string& line);
 
-// Counts frequent events by reason and writes at most one line a second: a line for each of many requests
-// would be a load of its own.
+// Counts frequent events by reason and writes at most one line per second, since a line for each of many
+// requests would itself be a considerable load.
 class CountingLog {
  public:
-  // `subject` begins each line.
+  // Each line begins with `subject`.
   CountingLog(boost::asio::io_context& io, std::string subject) : timer_(io), subject_(std::move(subject)) {}
 
-  // `reason` is one of a few literals, so that the counts stay few.
+  // Counts one event. `reason` is one of a few string literals, so that the number of counts stays small.
   void count(const char* reason);
 
  private:
@@ -27,7 +27,7 @@
 
   boost::asio::steady_timer timer_;
   std::string subject_;
-  std::map<std::string, std::size_t> counts_;  // by reason, since the last line
+  std::map<std::string, std::size_t> counts_;  // by reason, since the last line was written
 };
 
 }  // namespace message_relay
--- a/relay/metrics.hpp
+++ b/relay/metrics.hpp
@@ -1,7 +1,8 @@
-// What the relay has done since its process started, for its operators: counts by class, and gauges.
+// The relay's metrics for operators: counts of completed messages by class since the start of the process,
+// and gauges.
 //
-// Invariant: each message is counted once, where it completes. The names are an exchanged format: operators'
-// tools read them.
+// Invariant: each message is counted exactly once, when it completes. Operators' tools read the names of the
+// metrics, so they must not change.
 #pragma once
 
 #include <cstddef>
@@ -13,27 +14,31 @@
 
 namespace message_relay {
 
-// How a message completed: delivered; rejected, so that handing it in again is harmless; given up after it
-// may have been delivered.
-enum class Completion { succeeded, declined, aborted };
+// How a message completed.
+enum class Completion {
+  succeeded,  // delivered
+  declined,   // rejected; submitting it again is harmless
+  aborted     // given up after it may have been delivered
+};
 
-// Present values, asked of their owners when the metrics are read.
+// Current values, collected from the components that own them each time the metrics are read.
 struct Gauges {
-  std::size_t outstanding = 0;  // open messages
-  std::size_t discovered = 0;   // listed endpoints
-  std::size_t ejected = 0;      // of them avoided now
-  std::uint64_t forwards = 0;   // messages written completely to endpoints
+  std::size_t outstanding = 0;  // number of open messages
+  std::size_t discovered = 0;   // number of listed endpoints
+  std::size_t ejected = 0;      // number of listed endpoints that are ejected or suspended
+  std::uint64_t forwards = 0;   // number of messages written completely to endpoints
 };
 
+// Counts completed messages and renders all metrics as text.
 class Metrics {
  public:
-  // Every class is rendered from the start, at 0.
+  // Counts start at 0 for every class, so that render() lists all classes from the beginning.
   explicit Metrics(const configuration::NameIndex& classes);
 
-  // Classes that the settings do not have are not counted.
+  // Counts one completed message. Classes that are not in the settings are ignored.
   void count(const std::string& message_class, Completion completion);
 
-  // One line "svc.NAME=NUMBER" each.
+  // Returns one line "svc.NAME=NUMBER" for each metric.
   [[nodiscard]] std::string render(const Gauges& gauges) const;
 
  private:
--- a/relay/operator_commands.cpp
+++ b/relay/operator_commands.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-std::string ok(const std::string& text) { return "OK " + text + "\n"; }
-std::string err(const std::string& text) { return "ERR " + text + "\n"; }
+std::string ok_reply(const std::string& text) { return "OK " + text + "\n"; }
+std::string error_reply(const std::string& text) { return "ERR " + text + "\n"; }
 
 std::string describe(NotReadyReason reason) {
   switch (reason) {
@@ -40,73 +40,75 @@
     case OperatorVerb::resume:
       return resume();
   }
-  return err("unknown call");
+  return error_reply("unknown command");
 }
 
 std::string OperatorCommands::status() const {
-  const auto reason = parts_.readiness.not_ready_reason();
-  return reason ? err(describe(*reason)) : ok_with_open_messages("");
+  const auto reason = collaborators_.readiness.not_ready_reason();
+  return reason ? error_reply(describe(*reason)) : ok_with_open_messages("");
 }
 
 std::string OperatorCommands::metrics() const {
   Gauges gauges;
-  gauges.outstanding = parts_.journal.messages().size();
-  gauges.discovered = parts_.directory.endpoints().size();
-  gauges.ejected = parts_.dispatcher.excluded_endpoint_count();
-  gauges.forwards = parts_.delivery.messages_written();
-  return parts_.metrics.render(gauges) + "END\n";
+  gauges.outstanding = collaborators_.journal.messages().size();
+  gauges.discovered = collaborators_.directory.endpoints().size();
+  gauges.ejected = collaborators_.dispatcher.excluded_endpoint_count();
+  gauges.forwards = collaborators_.delivery.messages_written();
+  return collaborators_.metrics.render(gauges) + "END\n";
 }
 
 std::string OperatorCommands::change_suspension(const EndpointId& id, SuspensionState change) {
   const bool suspended = is_suspended(id);
-  if (!suspended && !parts_.directory.was_ever_listed(id)) return err("no list has named " + id);
+  if (!suspended && !collaborators_.directory.was_ever_listed(id))
+    return error_reply("no list has named " + id);
   const bool changes = suspended != (change == SuspensionState::suspended);
   if (changes) apply_suspension(id, change);
-  if (!parts_.write_ahead.journal_writable())
-    return err(id + ": done, but the journal can't be written; a restart would forget it");
-  return ok(id + (change == SuspensionState::suspended ? " suspended" : " restored") +
-            (changes ? "" : " already"));
+  if (!collaborators_.write_ahead.journal_writable())
+    return error_reply(id + ": done, but the journal can't be written; a restart would forget it");
+  return ok_reply(id + (change == SuspensionState::suspended ? " suspended" : " restored") +
+                  (changes ? "" : " already"));
 }
 
 void OperatorCommands::apply_suspension(const EndpointId& id, SuspensionState change) {
   const bool suspend = change == SuspensionState::suspended;
-  parts_.journal.record_suspension(id, change);
+  collaborators_.journal.record_suspension(id, change);
   if (suspend) {
-    parts_.delivery.cancel_unsent(id);
-    parts_.delivery.close_idle(id);
+    collaborators_.delivery.cancel_unsent(id);
+    collaborators_.delivery.close_idle(id);
   }
-  // Decided in a round of its own: calls decided before it have gone, those of later ones obey it.
-  parts_.events.add_without_round(dispatch::event::EndpointSuspension{id, suspend});
-  parts_.round.run();
-  log((suspend ? "suspended " : "restored ") + id + " by operator");
+  // Gets a round of its own: calls decided in earlier rounds have already been sent or cancelled, and all
+  // later rounds take the change into account.
+  collaborators_.events.add_without_round(dispatch::event::EndpointSuspension{id, suspend});
+  collaborators_.round.run();
+  log((suspend ? "operators: suspended endpoint " : "operators: restored endpoint ") + id + " by command");
 }
 
 bool OperatorCommands::is_suspended(const EndpointId& id) const {
-  return parts_.journal.suspended_endpoints().contains(id);
+  return collaborators_.journal.suspended_endpoints().contains(id);
 }
 
 std::string OperatorCommands::pause() {
-  if (parts_.readiness.stopping()) return err("stopping");
-  if (!parts_.readiness.paused()) {
-    parts_.readiness.set_paused(true);
-    log("paused by operator");
-    parts_.ingress.drain(true);
+  if (collaborators_.readiness.stopping()) return error_reply("stopping");
+  if (!collaborators_.readiness.paused()) {
+    collaborators_.readiness.set_paused(true);
+    log("operators: paused the relay");
+    collaborators_.ingress.drain(true);
   }
   return ok_with_open_messages("paused, ");
 }
 
 std::string OperatorCommands::resume() {
-  if (parts_.readiness.stopping()) return err("stopping");
-  if (parts_.readiness.paused()) {
-    parts_.readiness.set_paused(false);
-    log("resumed by operator");
-    parts_.ingress.drain(false);
+  if (collaborators_.readiness.stopping()) return error_reply("stopping");
+  if (collaborators_.readiness.paused()) {
+    collaborators_.readiness.set_paused(false);
+    log("operators: resumed the relay");
+    collaborators_.ingress.drain(false);
   }
   return ok_with_open_messages("at work, ");
 }
 
 std::string OperatorCommands::ok_with_open_messages(const std::string& prefix) const {
-  return ok(prefix + std::to_string(parts_.journal.messages().size()) + " messages held");
+  return ok_reply(prefix + std::to_string(collaborators_.journal.messages().size()) + " messages held");
 }
 
 }  // namespace message_relay
--- a/relay/operator_commands.hpp
+++ b/relay/operator_commands.hpp
@@ -1,7 +1,7 @@
-// Carries out operators' commands and words the replies.
+// Executes operators' commands and produces the replies.
 //
-// Each reply begins with "OK" or "ERR". Operators' tools read these texts: they are an exchanged format and
-// keep their wording.
+// Each reply begins with "OK" or "ERR", except the reply to METRICS, which ends with "END". Operators' tools
+// parse these texts, so their wording must not change.
 #pragma once
 
 #include <string>
@@ -14,6 +14,7 @@
 
 namespace message_relay {
 
+// Executes commands on the running relay. The collaborators must outlive it.
 class OperatorCommands {
  public:
   struct Collaborators {
@@ -29,9 +30,9 @@
     const Metrics& metrics;
   };
 
-  explicit OperatorCommands(const Collaborators& collaborators) : parts_(collaborators) {}
+  explicit OperatorCommands(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
-  // The whole reply, each line with its end.
+  // Executes a command and returns the complete reply, each line with its line feed.
   [[nodiscard]] std::string run(const OperatorCommand& command);
 
  private:
@@ -44,7 +45,7 @@
   [[nodiscard]] std::string resume();
   [[nodiscard]] std::string ok_with_open_messages(const std::string& prefix) const;
 
-  Collaborators parts_;
+  Collaborators collaborators_;
 };
 
 }  // namespace message_relay
--- a/relay/operator_server.cpp
+++ b/relay/operator_server.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 constexpr std::size_t kMaxLineBytes = 512;
-// For the whole command to come, and for the reply to go and the caller to leave: callers must not hold a
-// connection and say nothing.
+// Time limit for receiving the whole command line, so that no peer can hold a connection without sending.
 constexpr std::chrono::seconds kCommandTimeout{6};
+// Time limit for sending the reply and for the peer to close the connection after it.
 constexpr std::chrono::seconds kReplyTimeout{2};
 constexpr auto kAcceptRetryInterval = std::chrono::milliseconds(50);
 constexpr auto kListenRetryInterval = std::chrono::milliseconds(250);
@@ -44,15 +44,14 @@
     {"RESUME", OperatorVerb::resume, Argument::none},
 }};
 
-// Operators' tools read the replies, whose texts are an exchanged format.
 constexpr const char* kUnknownVerb =
-    "unknown call; there are STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE and RESUME";
+    "unknown command; expected STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE or RESUME";
 
-bool is_one_word(const std::string& text) {
+bool is_single_word(const std::string& text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < '\x7f'; });
 }
 
-std::string err(const std::string& problem) { return "ERR " + problem + "\n"; }
+std::string error_reply(const std::string& problem) { return "ERR " + problem + "\n"; }
 
 }  // namespace
 
@@ -67,16 +66,16 @@
   const std::string argument = has_argument ? line.substr(space + 1) : "";
   std::string problem;
   if (syntax->argument == Argument::none) {
-    if (has_argument) problem = name + " takes nothing behind it";
+    if (has_argument) problem = name + " takes no argument";
   } else if (argument.empty()) {
-    problem = name + " needs the id of an endpoint";
-  } else if (!is_one_word(argument)) {
-    problem = name + " takes one id";
+    problem = name + " needs the id of an endpoint as its argument";
+  } else if (!is_single_word(argument)) {
+    problem = name + " takes one id, without spaces or control characters";
   }
   return {{syntax->verb, argument}, problem};
 }
 
-// One caller: reads a line, replies, waits until the caller leaves.
+// One connection: reads a command line, sends the reply and waits until the peer closes the connection.
 class OperatorServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(OperatorServer& server, tcp::socket socket)
@@ -87,8 +86,8 @@
   void start() {
     close_after(kCommandTimeout);
     net::async_read_until(socket_, net::dynamic_buffer(line_, kMaxLineBytes), '\n',
-                          [self = shared_from_this()](error_code bad, std::size_t size) {
-                            if (!self->closed_) self->on_line(bad, size);
+                          [self = shared_from_this()](error_code error, std::size_t size) {
+                            if (!self->closed_) self->on_line(error, size);
                           });
   }
 
@@ -104,28 +103,28 @@
  private:
   void close_after(std::chrono::seconds timeout) {
     timer_.expires_after(timeout);
-    timer_.async_wait([self = shared_from_this()](error_code bad) {
-      if (!bad) self->close();
+    timer_.async_wait([self = shared_from_this()](error_code error) {
+      if (!error) self->close();
     });
   }
 
-  // `size` counts the line feed.
-  void on_line(error_code bad, std::size_t size) {
-    if (bad == net::error::not_found) {
-      reply(err("a call has " + std::to_string(kMaxLineBytes) + " bytes at most"));
-    } else if (bad == net::error::eof) {
-      // Half a line is no command: the rest of an id may be missing.
-      reply(err("a call is one whole line, with its end"));
-    } else if (bad) {
+  // `size` is the length of the line in bytes, including the line feed.
+  void on_line(error_code error, std::size_t size) {
+    if (error == net::error::not_found) {
+      reply(error_reply("command line longer than " + std::to_string(kMaxLineBytes) + " bytes"));
+    } else if (error == net::error::eof) {
+      // An incomplete line is not executed: the end of an endpoint's id may be missing.
+      reply(error_reply("command line incomplete: no line feed at its end"));
+    } else if (error) {
       close();
     } else {
-      reply(reply_to(line_.substr(0, size - 1)));
+      reply(execute(line_.substr(0, size - 1)));
     }
   }
 
-  std::string reply_to(std::string line) {
+  std::string execute(std::string line) {
     const ParsedCommand parsed = parse_command(std::move(line));
-    return parsed.problem.empty() ? server_.handler_(parsed.command) : err(parsed.problem);
+    return parsed.problem.empty() ? server_.handler_(parsed.command) : error_reply(parsed.problem);
   }
 
   void reply(std::string text) {
@@ -133,29 +132,29 @@
     reply_ = std::move(text);
     close_after(kReplyTimeout);
     net::async_write(socket_, net::buffer(reply_),
-                     [self = shared_from_this()](error_code bad, std::size_t) { self->on_replied(bad); });
+                     [self = shared_from_this()](error_code error, std::size_t) { self->on_replied(error); });
   }
 
-  void on_replied(error_code bad) {
+  void on_replied(error_code error) {
     if (closed_) return;
-    if (bad) {
+    if (error) {
       close();
       return;
     }
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    wait_until_caller_leaves();
+    discard_until_peer_closes();
   }
 
-  // Closing over unread bytes would reset the connection, and the reply with it.
-  void wait_until_caller_leaves() {
+  // Closing the socket with unread bytes would reset the connection, and the peer could lose the reply.
+  void discard_until_peer_closes() {
     socket_.async_read_some(net::buffer(discarded_),
-                            [self = shared_from_this()](error_code bad, std::size_t) {
+                            [self = shared_from_this()](error_code error, std::size_t) {
                               if (self->closed_) return;
-                              if (bad)
+                              if (error)
                                 self->close();
                               else
-                                self->wait_until_caller_leaves();
+                                self->discard_until_peer_closes();
                             });
   }
 
@@ -169,7 +168,7 @@
   bool closed_ = false;
 };
 
-// NOLINTNEXTLINE(modernize-pass-by-value): an address is bytes; moving it is a copy
+// NOLINTNEXTLINE(modernize-pass-by-value): the address is trivially copyable, so moving it gains nothing
 OperatorServer::OperatorServer(net::io_context& io, const tcp::endpoint& address, std::size_t max_sessions,
                                Handler handler)
     : io_(io),
@@ -184,58 +183,59 @@
 OperatorServer::~OperatorServer() = default;
 
 void OperatorServer::listen() {
-  const error_code bad = open_acceptor();
-  if (!bad) {
+  const error_code error = open_acceptor();
+  if (!error) {
     accept();
     return;
   }
-  log("operators: can't listen: " + bad.message());
+  log("operators: can't listen, retrying: " + error.message());
   error_code ignored;
   acceptor_.close(ignored);
   retry_timer_.expires_after(kListenRetryInterval);
-  retry_timer_.async_wait([this](error_code stopped) {
-    if (!stopped) listen();
+  retry_timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) listen();
   });
 }
 
 error_code OperatorServer::open_acceptor() {
-  error_code bad;
-  acceptor_.open(address_.protocol(), bad);
-  if (!bad) acceptor_.set_option(tcp::acceptor::reuse_address(true), bad);
-  if (!bad) acceptor_.bind(address_, bad);
-  if (!bad) acceptor_.listen(net::socket_base::max_listen_connections, bad);
-  return bad;
+  error_code error;
+  acceptor_.open(address_.protocol(), error);
+  if (!error) acceptor_.set_option(tcp::acceptor::reuse_address(true), error);
+  if (!error) acceptor_.bind(address_, error);
+  if (!error) acceptor_.listen(net::socket_base::max_listen_connections, error);
+  return error;
 }
 
 void OperatorServer::accept() {
-  acceptor_.async_accept([this](error_code bad, tcp::socket socket) {
-    if (bad == net::error::operation_aborted) return;
-    if (bad) {
-      log("operators: accept: " + bad.message());
+  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    if (error == net::error::operation_aborted) return;
+    if (error) {
+      log("operators: can't accept a connection, retrying: " + error.message());
       accept_later();
       return;
     }
-    begin_session(std::move(socket));
+    start_session(std::move(socket));
     accept();
   });
 }
 
 void OperatorServer::accept_later() {
   retry_timer_.expires_after(kAcceptRetryInterval);
-  retry_timer_.async_wait([this](error_code stopped) {
-    if (!stopped) accept();
+  retry_timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) accept();
   });
 }
 
-void OperatorServer::begin_session(tcp::socket socket) {
-  close_one_if_full();
+void OperatorServer::start_session(tcp::socket socket) {
+  evict_session_if_full();
   const auto session = std::make_shared<Session>(*this, std::move(socket));
   sessions_.push_back(session);
   session->start();
 }
 
-// The newest caller is served whatever the others do: one that has its reply is closed, else the oldest.
-void OperatorServer::close_one_if_full() {
+// Makes room for the newest connection, which is always served. Closes the oldest session that has its reply,
+// otherwise the oldest one, so that idle connections can't keep operators out.
+void OperatorServer::evict_session_if_full() {
   if (sessions_.size() < max_sessions_) return;
   const auto replied = std::find_if(sessions_.begin(), sessions_.end(),
                                     [](const auto& session) { return session->replied(); });
--- a/relay/operator_server.hpp
+++ b/relay/operator_server.hpp
@@ -1,5 +1,5 @@
-// The operators' entry: each connection sends one line, a command, and gets its reply. Holds no state of the
-// relay.
+// The TCP server for operators: each connection sends one command line and receives the reply. This module
+// holds no state of the relay.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,24 +16,26 @@
 
 struct OperatorCommand {
   OperatorVerb verb = OperatorVerb::status;
-  std::string endpoint;  // the id, where the verb takes one
+  std::string endpoint;  // the endpoint id, for verbs that take one
 };
 
 struct ParsedCommand {
   OperatorCommand command;
-  std::string problem;  // why the line is not understood; empty: it is
+  std::string problem;  // why the line is malformed; empty if it is valid
 };
 
-// `line` comes without its line feed; a carriage return at its end is ignored.
+// Parses one command line. `line` has no line feed; a carriage return at its end is ignored.
 [[nodiscard]] ParsedCommand parse_command(std::string line);
 
+// Accepts operators' connections and passes their commands to a handler.
 class OperatorServer {
  public:
-  // The whole reply to a command, each line with its end.
+  // Returns the complete reply to a command, each line with its line feed.
   using Handler = std::function<std::string(const OperatorCommand&)>;
 
-  // Serves up to `max_sessions` callers at a time. Listens as soon as the address can be had: a relay must
-  // not fail to start, or to take over, for want of its operators' address.
+  // Serves up to `max_sessions` connections at a time. If the address can't be bound, it keeps retrying in
+  // the background: a relay must not fail to start, or to take over, because its operators' address is not
+  // available.
   OperatorServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
                  std::size_t max_sessions, Handler handler);
   OperatorServer(const OperatorServer&) = delete;
@@ -47,8 +49,8 @@
   [[nodiscard]] boost::system::error_code open_acceptor();
   void accept();
   void accept_later();
-  void begin_session(boost::asio::ip::tcp::socket socket);
-  void close_one_if_full();
+  void start_session(boost::asio::ip::tcp::socket socket);
+  void evict_session_if_full();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
