--- a/adapter/action_writer.cpp
+++ b/adapter/action_writer.cpp
@@ -109,8 +109,8 @@
   write_line(output::kFatal, [&](Writer& writer) { write_text(writer, field::kText, cause); });
 }
 
-void write_end_of_answer(std::string& reply) {
-  reply += std::string("{\"") + field::kKind + "\":\"" + output::kEndOfAnswer + "\"}\n";
+void write_end_of_reply(std::string& reply) {
+  reply += std::string("{\"") + field::kKind + "\":\"" + output::kEndOfReply + "\"}\n";
 }
 
 }  // namespace simulator_adapter
--- a/adapter/action_writer.hpp
+++ b/adapter/action_writer.hpp
@@ -1,4 +1,4 @@
-// Writes a dispatcher's actions as lines of the simulator's wire.
+// Writes a dispatcher's actions as lines of the simulator's protocol.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,10 @@
 
 namespace simulator_adapter {
 
-/// A visitor of dispatch::Action: appends one line to the reply for each action of one instance.
+/// A visitor of dispatch::Action that appends one line to the reply for each action of one instance.
 class ActionWriter {
  public:
-  /// Both must outlive the writer.
+  /// `reply` and `instance`, the name of the instance, must outlive the writer.
   ActionWriter(std::string& reply, const std::string& instance) : reply_(reply), instance_(instance) {}
 
   void operator()(const dispatch::action::Send& action);
@@ -25,7 +25,7 @@
   void operator()(const dispatch::action::HealthCheck& action);
   void operator()(const dispatch::action::SendGossip& action);
   void operator()(const dispatch::action::Log& action);
-  /// The instance can't go on, and why.
+  /// Appends the line which says that the instance can't continue, with the cause.
   void write_fatal(const std::string& cause);
 
  private:
@@ -36,7 +36,7 @@
   const std::string& instance_;
 };
 
-/// The line that ends the answer to a round.
-void write_end_of_answer(std::string& reply);
+/// Appends the line that ends the reply to a round.
+void write_end_of_reply(std::string& reply);
 
 }  // namespace simulator_adapter
--- a/adapter/codec.hpp
+++ b/adapter/codec.hpp
@@ -1,8 +1,9 @@
-// The simulator's wire, translated to and from the dispatcher's events and actions. No decisions.
+// Translates between the simulator's protocol and the dispatcher's events and actions. Makes no delivery
+// decisions itself.
 //
-// The simulator sends rounds: a line that begins the round, lines for any of the relays it plays, and a line
-// that ends it. The answer to a round has the actions of each relay that had an event, and a line that ends
-// it.
+// The simulator sends rounds. A round consists of a line that begins it, lines for any of the simulated
+// relays, and a line that ends it. The reply to a round contains the actions of each relay that the round
+// named, and a line that ends the reply.
 #pragma once
 
 #include <memory>
@@ -10,7 +11,7 @@
 
 namespace simulator_adapter {
 
-/// The relays that the simulator plays, with a dispatcher each.
+/// Holds the simulated relays, each with its own dispatcher, and processes the simulator's lines.
 class Codec {
  public:
   Codec();
@@ -18,9 +19,9 @@
   Codec(const Codec&) = delete;
   Codec& operator=(const Codec&) = delete;
 
-  /// Takes one line. Returns true when the line ends a round: `reply` then holds the whole answer.
-  /// Throws configuration::FieldError on malformed input.
-  [[nodiscard]] bool take(const std::string& line, std::string& reply);
+  /// Processes one line. Returns true if the line ends a round; `reply` then holds the complete reply. Throws
+  /// configuration::FieldError on malformed input.
+  [[nodiscard]] bool process_line(const std::string& line, std::string& reply);
 
  private:
   class Impl;
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,6 @@
-// simulator_adapter: reads batches of the simulator's wire, answers each with one flush.
+// simulator_adapter: reads rounds of the simulator's protocol from standard input and writes each reply to
+// standard output with one flush. The exit status is 0 at the end of input and 1 on a malformed line or if
+// the output can't be written.
 #include <iostream>
 #include <string>
 
@@ -9,11 +11,11 @@
   std::cin.tie(nullptr);
   simulator_adapter::Codec codec;
   std::string line, reply;
-  for (std::size_t number = 1; std::getline(std::cin, line); number++) {
+  for (std::size_t line_number = 1; std::getline(std::cin, line); line_number++) {
     try {
-      if (line.empty() || !codec.take(line, reply)) continue;
+      if (line.empty() || !codec.process_line(line, reply)) continue;
     } catch (const std::exception& e) {
-      std::cerr << "simulator_adapter: line " << number << ": " << e.what() << std::endl;
+      std::cerr << "simulator_adapter: line " << line_number << ": " << e.what() << std::endl;
       return 1;
     }
     std::cout << reply << std::flush;
--- a/adapter/wire_words.hpp
+++ b/adapter/wire_words.hpp
@@ -1,28 +1,29 @@
-// The simulator's wire in names: kinds of messages, their fields, and the words and codes of fields.
+// Constants of the simulator's protocol: the kinds of lines, the names of their fields, and the values of
+// fields.
 //
-// The words are the simulator's; they are named here for what they mean.
+// The texts are defined by the simulator and must not change. The constants are named after their meaning.
 #pragma once
 
 namespace simulator_adapter {
 
-/// What the `kind` of a line from the simulator can be.
+/// Values of field::kKind in lines from the simulator.
 namespace input {
-inline constexpr const char* kRound = "ROUND";               // a batch begins
-inline constexpr const char* kEndOfRound = "YOUR_TURN";      // it ends: answer it
-inline constexpr const char* kNewInstance = "NEW_INSTANCE";  // a relay starts
-inline constexpr const char* kPowerOff = "POWER_OFF";        // a relay is gone
-inline constexpr const char* kEndpointPool = "POOL";         // a list of endpoints, for later reference
-inline constexpr const char* kAttemptAccepted = "ACCEPTED";  // an attempt has begun to be answered
-inline constexpr const char* kEndpointList = "SYNC";         // a relay gets a list, or loses its source
-inline constexpr const char* kArrival = "KNOCK";             // a message arrives
+inline constexpr const char* kRound = "ROUND";               // begins a round
+inline constexpr const char* kEndOfRound = "YOUR_TURN";      // ends the round and requests the reply
+inline constexpr const char* kNewInstance = "NEW_INSTANCE";  // a simulated relay starts
+inline constexpr const char* kPowerOff = "POWER_OFF";        // a simulated relay stops
+inline constexpr const char* kEndpointPool = "POOL";         // defines a list of endpoints for later use
+inline constexpr const char* kAttemptAccepted = "ACCEPTED";  // the response to an attempt has begun
+inline constexpr const char* kEndpointList = "SYNC";         // delivers a list or ends the subscription
+inline constexpr const char* kArrival = "KNOCK";             // a message arrives from a client
 inline constexpr const char* kAttemptEnded = "RETURNED";     // an attempt ended
-inline constexpr const char* kClientCancelled = "HANGUP";    // a client withdrew its message
+inline constexpr const char* kClientCancelled = "HANGUP";    // a client cancelled its message
 inline constexpr const char* kTimerExpired = "REMINDER";     // a timer expired
-inline constexpr const char* kHealthCheckEnded = "ECHO";     // a health check was answered
-inline constexpr const char* kGossipReceived = "HEARD";      // another relay's gossip
+inline constexpr const char* kHealthCheckEnded = "ECHO";     // a health check ended
+inline constexpr const char* kGossipReceived = "HEARD";      // gossip of another relay arrived
 }  // namespace input
 
-/// What the `kind` of a line to the simulator can be.
+/// Values of field::kKind in lines to the simulator.
 namespace output {
 inline constexpr const char* kSend = "PLACE";
 inline constexpr const char* kReject = "BUSY";
@@ -36,10 +37,10 @@
 inline constexpr const char* kSendGossip = "BROADCAST_TO";
 inline constexpr const char* kLog = "PRINT";
 inline constexpr const char* kFatal = "FATAL";
-inline constexpr const char* kEndOfAnswer = "OK";
+inline constexpr const char* kEndOfReply = "OK";
 }  // namespace output
 
-/// Names of fields, in both directions.
+/// Names of fields in lines of both directions.
 namespace field {
 inline constexpr const char* kKind = "kind";
 inline constexpr const char* kInstance = "Who";
--- a/configuration/settings_reader.cpp
+++ b/configuration/settings_reader.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A list of names, with the position of each.
+// Reads an optional list of names.
 NameIndex read_names(const JsonValue& object, const char* name, const std::string& path) {
   NameIndex names;
   const JsonValue* list = find_member(object, name);
@@ -25,13 +25,13 @@
   return names;
 }
 
-// A list with one value for each kind, or nullptr.
+// Returns the member, which must be an array, or nullptr if it is absent or null.
 const JsonValue* find_list(const JsonValue& object, const char* name, const std::string& path) {
   const JsonValue* list = find_member(object, name);
   return list == nullptr ? nullptr : &as_array(*list, path + "." + name);
 }
 
-// An object that must be there.
+// Returns the member, which is required and must be an object.
 const JsonValue& read_section(const JsonValue& settings, const char* name, const std::string& path) {
   return as_object(required_member(settings, name, path), path + "." + name);
 }
@@ -40,8 +40,8 @@
   ClassSettings settings;
   settings.priority_weight = read_member(value, "Points", path, as_double);
   settings.late_weight_fraction = read_member(value, "LateWorth", path, as_double, 0.0);
-  settings.latency_objective = read_member(value, "Target", path, as_integer);
-  settings.deadline = read_member(value, "Deadline", path, as_integer);
+  settings.latency_objective = read_member(value, "Target", path, as_int64);
+  settings.deadline = read_member(value, "Deadline", path, as_int64);
   settings.idempotency = parse_enum<Idempotency>(read_member(value, "Idempotency", path, as_string),
                                                  {{"read_like", Idempotency::idempotent},
                                                   {"idempotency_key", Idempotency::by_key},
@@ -50,7 +50,7 @@
   settings.key_scope = parse_enum<KeyScope>(
       read_member(value, "Group", path, as_string, "all"),
       {{"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}}, path + ".Group");
-  settings.idempotency_window = read_member(value, "Window", path, as_integer, 0);
+  settings.idempotency_window = read_member(value, "Window", path, as_int64, 0);
   settings.ordered = read_member(value, "FifoByKey", path, as_bool, false);
   return settings;
 }
@@ -77,7 +77,8 @@
   }
 }
 
-// Lists may be shorter than there are kinds.
+// Reads the settings of each kind. The lists may be shorter than the number of kinds: the other kinds keep
+// the defaults.
 std::vector<KindSettings> read_kinds(const JsonValue& family, const std::string& path, std::size_t count) {
   std::vector<KindSettings> kinds(std::max<std::size_t>(1, count));
   const JsonValue* independent_endpoints = find_list(family, "RoutesApart", path);
@@ -100,9 +101,9 @@
   settings.value_decay = parse_enum<ValueDecay>(
       read_member(family, "Decay", path, as_string, "line"),
       {{"line", ValueDecay::linear}, {"halves", ValueDecay::exponential}}, path + ".Decay");
-  if (const JsonValue* costs = find_list(family, "Toll", path))
-    for (const JsonValue& cost : costs->GetArray())
-      settings.zone_surcharges.push_back(as_double(cost, path + ".Toll"));
+  if (const JsonValue* surcharges = find_list(family, "Toll", path))
+    for (const JsonValue& surcharge : surcharges->GetArray())
+      settings.zone_surcharges.push_back(as_double(surcharge, path + ".Toll"));
 }
 
 void read_limits(const JsonValue& value, const std::string& parent_path, Settings& settings) {
@@ -114,37 +115,35 @@
   settings.cancellation = read_member(limits, "Cancelling", path, as_bool, false);
   settings.health_checks = read_member(limits, "Probes", path, as_bool, false);
   settings.gossip = read_member(limits, "Peers", path, as_bool, false);
-  settings.connect_timeout =
-      read_member(limits, "ConnectTimeout", path, as_integer, settings.connect_timeout);
+  settings.connect_timeout = read_member(limits, "ConnectTimeout", path, as_int64, settings.connect_timeout);
   settings.connection_idle_timeout =
-      read_member(limits, "ConnIdle", path, as_integer, settings.connection_idle_timeout);
-  settings.max_retry_after = read_member(limits, "MaxRetryAfter", path, as_integer, 0);
+      read_member(limits, "ConnIdle", path, as_int64, settings.connection_idle_timeout);
+  settings.max_retry_after = read_member(limits, "MaxRetryAfter", path, as_int64, 0);
 }
 
 void read_rules(const JsonValue& value, const std::string& parent_path, Settings& settings) {
   const std::string path = parent_path + ".Rules";
   const JsonValue& rules = read_section(value, "Rules", parent_path);
-  settings.final_answer_grace = read_member(rules, "AnswerSlack", path, as_integer, 0);
-  settings.drain_grace = read_member(rules, "DrainGrace", path, as_integer, 0);
-  settings.max_poll_interval = read_member(rules, "MustAskIn", path, as_integer, 0);
-  settings.order_key_quiet_period = read_member(rules, "SettleAfterDoubt", path, as_integer, 0);
+  settings.final_answer_grace = read_member(rules, "AnswerSlack", path, as_int64, 0);
+  settings.drain_grace = read_member(rules, "DrainGrace", path, as_int64, 0);
+  settings.max_poll_interval = read_member(rules, "MustAskIn", path, as_int64, 0);
+  settings.order_key_quiet_period = read_member(rules, "SettleAfterDoubt", path, as_int64, 0);
   settings.overload_multiple =
       read_member(rules, "FallMultiple", path, as_double, settings.overload_multiple);
-  settings.overload_duration =
-      read_member(rules, "OverloadFor", path, as_integer, settings.overload_duration);
+  settings.overload_duration = read_member(rules, "OverloadFor", path, as_int64, settings.overload_duration);
   settings.slow_start_capacity_fraction =
       read_member(rules, "ColdFrom", path, as_double, settings.slow_start_capacity_fraction);
-  settings.slow_start_duration = read_member(rules, "Cold", path, as_integer, settings.slow_start_duration);
+  settings.slow_start_duration = read_member(rules, "Cold", path, as_int64, settings.slow_start_duration);
 }
 
-// What concerns this relay itself and its place among the others.
+// Reads the settings of this relay itself and of its position in the group of relays.
 void read_relay(const JsonValue& value, const std::string& path, Settings& settings,
                 const SettingNames& names) {
   settings.over_quota_weight_fraction = read_member(value, "OverShareWorth", path, as_double, 1.0);
   settings.relay_count = read_member(value, "GroupSize", path, as_int, 1);
   settings.relay_index = read_member(value, "Rank", path, as_int, 0);
   settings.zone = index_of(names.zones, read_member(value, "Locality", path, as_string, ""));
-  settings.min_round_interval = read_member(value, "Tick", path, as_integer, settings.min_round_interval);
+  settings.min_round_interval = read_member(value, "Tick", path, as_int64, settings.min_round_interval);
   settings.subscribes_to_list = read_member(value, "Discovery", path, as_string, "automatic") == "subscribe";
   settings.weight_kind = parse_enum<WeightKind>(read_member(value, "WeightKind", path, as_string, "none"),
                                                 {{"none", WeightKind::none},
--- a/configuration/settings_reader.hpp
+++ b/configuration/settings_reader.hpp
@@ -1,6 +1,7 @@
-// Reads the dispatcher's settings from JSON, as the simulator's wire and a relay's configuration write them.
+// Reads the dispatcher's settings from JSON. The simulator's protocol and the configuration of a relay
+// contain them in the same form.
 //
-// The keys are an exchanged format and keep their names.
+// The keys are part of that external format, so they must not be renamed.
 #pragma once
 
 #include <string>
@@ -11,12 +12,13 @@
 
 namespace configuration {
 
-// The position of each name in its list.
+// Maps each name of a list to its position.
 using NameIndex = std::unordered_map<std::string, int>;
 
+// The position of a name that is not in the list.
 inline constexpr int kUnknownName = -1;
 
-// Names of the lists of the settings: events carry positions in their place.
+// The names in the lists of the settings. The dispatcher's events carry positions instead of names.
 struct SettingNames {
   NameIndex classes;
   NameIndex tenants;
@@ -24,10 +26,11 @@
   NameIndex kinds;
 };
 
-// The position of a name, kUnknownName where it is not there.
+// Returns the position of a name, or kUnknownName if the list does not have it.
 [[nodiscard]] int index_of(const NameIndex& names, const std::string& name);
 
-// Fills `names`, which must be empty. Throws FieldError, naming the field, on what can't be read.
+// Reads the settings from `value`, whose path in error messages is `path`. Also fills `names`, which must be
+// empty. Throws FieldError, which names the field, if a field is missing or malformed.
 [[nodiscard]] dispatch::Settings read_settings(const JsonValue& value, const std::string& path,
                                                SettingNames& names);
 
--- a/relay/endpoint_list.cpp
+++ b/relay/endpoint_list.cpp
@@ -28,11 +28,11 @@
                                                 {"draining", EndpointStatus::draining},
                                                 {"gone", EndpointStatus::removed}},
                                                path + ".status");
-  endpoint.destination = read_member(value, "group", path, as_integer);
+  endpoint.destination = read_member(value, "group", path, as_int64);
   endpoint.zone = index_of(names.zones, read_member(value, "zone", path, as_string, ""));
   endpoint.kind = index_of(names.kinds, read_member(value, "type", path, as_string, ""));
   endpoint.weight = read_member(value, "weight", path, as_double, 1.0);
-  endpoint.added_at = to_steady_time(read_member(value, "since_ms", path, as_integer, 0));
+  endpoint.added_at = to_steady_time(read_member(value, "since_ms", path, as_int64, 0));
   listed.address = read_address(read_member(value, "address", path, as_string), path + ".address");
   return listed;
 }
@@ -59,7 +59,7 @@
 EndpointList read_endpoint_list(const JsonValue& value, const std::string& path, const SettingNames& names) {
   as_object(value, path);
   EndpointList list;
-  list.version = read_member(value, "index", path, as_integer);
+  list.version = read_member(value, "index", path, as_int64);
   list.is_snapshot = read_member(value, "snapshot", path, as_bool);
   const std::string entries_path = path + ".endpoints";
   const JsonValue& entries = as_array(required_member(value, "endpoints", path), entries_path);
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -40,17 +40,17 @@
   std::string round(const std::vector<std::string>& lines) {
     clock += 5000;
     std::string reply;
-    EXPECT_FALSE(codec.take(R"({"kind":"ROUND","Clock":)" + std::to_string(clock) + "}", reply));
-    for (const auto& line : lines) EXPECT_FALSE(codec.take(line, reply));
-    EXPECT_TRUE(codec.take(R"({"kind":"YOUR_TURN"})", reply));
+    EXPECT_FALSE(codec.process_line(R"({"kind":"ROUND","Clock":)" + std::to_string(clock) + "}", reply));
+    for (const auto& line : lines) EXPECT_FALSE(codec.process_line(line, reply));
+    EXPECT_TRUE(codec.process_line(R"({"kind":"YOUR_TURN"})", reply));
     return reply;
   }
   // What is said of a line that is malformed.
   std::string complaint(const std::string& line) {
     std::string reply;
-    EXPECT_FALSE(codec.take(R"({"kind":"ROUND","Clock":1})", reply));
+    EXPECT_FALSE(codec.process_line(R"({"kind":"ROUND","Clock":1})", reply));
     try {
-      EXPECT_FALSE(codec.take(line, reply));
+      EXPECT_FALSE(codec.process_line(line, reply));
     } catch (const configuration::FieldError& e) {
       return e.what();
     }
