--- a/include/dispatch/settings.hpp
+++ b/include/dispatch/settings.hpp
@@ -98,7 +98,8 @@
   /// overload_duration.
   double overload_multiple = 2;
   Time overload_duration = 1'000'000;  ///< how long the overload must last
-  /// The fraction of its full capacity that a destination has at the start of slow start.
+  /// The fraction of its full capacity that a destination has right after an outage, when its slow start
+  /// begins.
   double slow_start_capacity_fraction = 0.2;
   Time slow_start_duration = 10'000'000;  ///< the longest time until the full capacity is back
 };
