--- a/relay/binary_format.hpp
+++ b/relay/binary_format.hpp
@@ -1,7 +1,8 @@
-// Fields in a row as bytes, for the journal and for what a process hands over.
+// Binary encoding of consecutive fields, for the journal and for the handover between processes.
 //
-// Numbers are little-endian and of the size of their type, as the machine has them; a text is its size in 32
-// bits, then its bytes. Both uses are read by other builds: the form must not change.
+// Numbers are little-endian and have the size of their type, as in the machine's memory; a string is its size
+// in 32 bits, followed by its bytes. Other builds read both the journal and the handover, so the format must
+// not change.
 #pragma once
 
 #include <bit>
@@ -16,6 +17,7 @@
 
 static_assert(std::endian::native == std::endian::little);
 
+// Encodes fields in the order of the calls.
 class BinaryWriter {
  public:
   template <class Number>
@@ -35,7 +37,7 @@
   std::string payload_;
 };
 
-// Reads fields in the order in which they were written. Throws std::runtime_error where fewer bytes are left
+// Reads fields in the order in which they were written. Throws std::runtime_error if fewer bytes are left
 // than a field needs. `payload` must outlive the reader.
 class BinaryReader {
  public:
@@ -45,23 +47,25 @@
   Number number() {
     static_assert(std::is_arithmetic_v<Number> || std::is_enum_v<Number>);
     Number value;
-    std::memcpy(&value, take(sizeof value), sizeof value);
+    std::memcpy(&value, consume(sizeof value), sizeof value);
     return value;
   }
   std::string text() {
     const auto size = number<std::uint32_t>();
-    return {take(size), size};
+    return {consume(size), size};
   }
 
  private:
-  const char* take(std::size_t size) {
-    if (payload_.size() - position_ < size) throw std::runtime_error("short record");
+  const char* consume(std::size_t size) {
+    if (payload_.size() - position_ < size)
+      throw std::runtime_error("record too short: expected " + std::to_string(size) + " more bytes, found " +
+                               std::to_string(payload_.size() - position_));
     const char* bytes = payload_.data() + position_;
     position_ += size;
     return bytes;
   }
 
-  std::string_view payload_;  // must outlive the reader
+  std::string_view payload_;
   std::size_t position_ = 0;
 };
 
--- a/relay/decision_round.cpp
+++ b/relay/decision_round.cpp
@@ -20,7 +20,7 @@
   if (deciding_) decide(plan);
   parts_.write_ahead.enqueue(std::move(plan).finish());
   parts_.write_ahead.commit();
-  parts_.compactor.start_if_wanted();
+  parts_.compactor.start_if_needed();
 }
 
 void DecisionRound::take_on_pending(PlanBuilder& plan) {
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -12,19 +12,29 @@
 namespace message_relay {
 namespace {
 
-// Reserved with each message for its later records: eight attempts with their outcomes (29 and 22 bytes), the
-// final answer and the completion.
-constexpr std::uint64_t kLaterRecordsBytes = 8 * (29 + 22) + 64;
-
-// Percentages of the limit: what messages may reserve; from where on the journal is compacted; up to where
-// messages are accepted.
+// Size of the frame of an AttemptRecord.
+constexpr std::uint64_t kAttemptRecordBytes = 29;
+// Size of the frame of an OutcomeRecord.
+constexpr std::uint64_t kOutcomeRecordBytes = 22;
+// At most, for the records of the final answer and the completion together.
+constexpr std::uint64_t kFinalRecordsBytes = 64;
+// Number of attempts for whose records each message reserves space.
+constexpr std::uint64_t kReservedAttempts = 8;
+// Reserved for each message in addition to its own record.
+constexpr std::uint64_t kLaterRecordsBytes =
+    kReservedAttempts * (kAttemptRecordBytes + kOutcomeRecordBytes) + kFinalRecordsBytes;
+
+// Messages may reserve at most this percentage of the size limit.
 constexpr std::uint64_t kMaxReservedPercent = 40;
+// A compaction begins when the file exceeds this percentage of the size limit.
 constexpr std::uint64_t kCompactionPercent = 50;
+// Messages are accepted only if the files stay within this percentage of the size limit.
 constexpr std::uint64_t kMaxFillPercent = 97;
 
-// A step of a compaction copies so much, and one message more.
+// A step of a compaction ends with the message at which this number of bytes is reached.
 constexpr std::size_t kCompactionStepBytes = std::size_t{128} * 1024;
 
+// File sizes are rounded up to a multiple of this when disk space is computed.
 constexpr std::uint64_t kDiskBlockBytes = 512;
 
 std::uint64_t size_on_disk(std::uint64_t size) {
@@ -35,14 +45,15 @@
 
 Journal::Journal(const std::string& folder, std::uint64_t limit_bytes)
     : path_(folder + "/journal"), compacted_path_(folder + "/journal.next"), limit_bytes_(limit_bytes) {
-  // Left by a process that was killed during a compaction: the first file is still complete.
+  // A process that was killed during a compaction leaves this file behind. It may be incomplete; the journal
+  // itself is still complete.
   if (::unlink(compacted_path_.c_str()) != 0 && errno != ENOENT)
     throw std::system_error(errno, std::generic_category(), "journal: " + compacted_path_);
   file_ = JournalFile(path_, JournalFile::OpenMode::keep_content);
   recover();
 }
 
-// ---- Reading. ----
+// ---- Recovery ----
 
 void Journal::recover() {
   const std::uint64_t stored_size = file_.stored_size();
@@ -52,11 +63,12 @@
     intact_size = reader.position();
     while (auto record = reader.next()) {
       std::visit([this](auto& fields) { apply(std::move(fields)); }, *record);
-      // Keys without their message are incomplete, too.
-      if (!keys_of_next_) intact_size = reader.position();
+      // Keys without the message that follows them are incomplete, too.
+      if (!preceding_keys_) intact_size = reader.position();
     }
   }
-  // Nothing was done yet on the strength of a record that was being written when the process ended.
+  // A record that was being written when the process ended can be dropped: the step that it records was not
+  // taken, since its commit had not returned.
   dropped_bytes_ = stored_size - intact_size;
   file_.truncate(intact_size);
   if (intact_size == 0) file_.append(std::string(kJournalHeader));
@@ -65,52 +77,52 @@
 void Journal::apply(MessageRecord&& record) {
   JournaledMessage journaled;
   journaled.message = std::move(record.message);
-  if (keys_of_next_ && keys_of_next_->number == record.number) {
-    journaled.message.idempotency_key = std::move(keys_of_next_->idempotency_key);
-    journaled.message.order_key = std::move(keys_of_next_->order_key);
+  if (preceding_keys_ && preceding_keys_->id == record.id) {
+    journaled.message.idempotency_key = std::move(preceding_keys_->idempotency_key);
+    journaled.message.order_key = std::move(preceding_keys_->order_key);
   }
-  keys_of_next_.reset();
+  preceding_keys_.reset();
   reserved_bytes_ += reserved_bytes(journaled.message);
-  // Most numbers in a file grow: the end is the place to look first.
-  messages_.insert_or_assign(messages_.end(), record.number, std::move(journaled));
+  // Ids in a file are mostly ascending, so the end is the best hint for the insertion.
+  messages_.insert_or_assign(messages_.end(), record.id, std::move(journaled));
 }
 
-void Journal::apply(MessageKeysRecord&& record) { keys_of_next_ = std::move(record); }
+void Journal::apply(MessageKeysRecord&& record) { preceding_keys_ = std::move(record); }
 
-// The records below may be of messages that were completed before the file was compacted.
+// The records below may belong to messages that are no longer in the file, because they were completed before
+// it was compacted.
 void Journal::apply(const AttemptRecord& record) {
-  const auto entry = messages_.find(record.number);
+  const auto entry = messages_.find(record.id);
   if (entry == messages_.end()) return;
   entry->second.attempts.push_back({record.sent_at, record.zone, std::nullopt});
 }
 
 void Journal::apply(const OutcomeRecord& record) {
-  const auto entry = messages_.find(record.number);
+  const auto entry = messages_.find(record.id);
   if (entry == messages_.end()) return;
   const auto attempt = static_cast<std::size_t>(record.attempt);
   if (attempt < entry->second.attempts.size()) entry->second.attempts[attempt].outcome = record.outcome;
 }
 
 void Journal::apply(const FinalAnswerRecord& record) {
-  const auto entry = messages_.find(record.number);
+  const auto entry = messages_.find(record.id);
   if (entry != messages_.end()) set_final_answer(entry->second, record.final_answer);
 }
 
 void Journal::apply(const CompletedRecord& record) {
-  const auto entry = messages_.find(record.number);
+  const auto entry = messages_.find(record.id);
   if (entry != messages_.end()) remove(entry);
 }
 
 void Journal::apply(const SuspensionRecord& record) { set_suspension(record.endpoint, record.state); }
 
-// ---- State. ----
+// ---- In-memory state ----
 
 void Journal::set_final_answer(JournaledMessage& message, const FinalAnswer& final_answer) {
   if (!message.final_answer) final_answer_count_++;
   message.final_answer = final_answer;
 }
 
-// Whether that is a change.
 bool Journal::set_suspension(const std::string& endpoint, SuspensionState state) {
   if (state == SuspensionState::suspended) return suspended_endpoints_.insert(endpoint).second;
   return suspended_endpoints_.erase(endpoint) > 0;
@@ -122,10 +134,10 @@
   messages_.erase(entry);
 }
 
-// ---- Capacity. ----
+// ---- Capacity ----
 
-// Computed from the lengths alone: it is called several times for each message, also while a large file is
-// read.
+// Computed from the field lengths without encoding, because it is called several times for each message, also
+// while a large file is read.
 std::uint64_t Journal::reserved_bytes(const Message& message) {
   return encoded_size(message) + kLaterRecordsBytes;
 }
@@ -134,63 +146,63 @@
   return size_on_disk(file_.size()) + size_on_disk(compacted_file_.size());
 }
 
-bool Journal::has_capacity_for(const Message& message, std::uint64_t other_bytes) const {
-  const std::uint64_t additional = reserved_bytes(message) + other_bytes;
+bool Journal::has_capacity_for(const Message& message, std::uint64_t other_reserved_bytes) const {
+  const std::uint64_t additional = reserved_bytes(message) + other_reserved_bytes;
   if (reserved_bytes_ + additional > limit_bytes_ / 100 * kMaxReservedPercent) return false;
-  // During a compaction all messages are still to be copied, and new records are written to both files.
-  const std::uint64_t pending = pending_.size() + compacted_pending_.size();
+  // In the worst case a compaction has yet to copy all open messages, and new records go to both files.
+  const std::uint64_t pending = pending_frames_.size() + compacted_pending_frames_.size();
   return bytes_on_disk() + pending + 2 * additional + reserved_bytes_ <= limit_bytes_ / 100 * kMaxFillPercent;
 }
 
-// ---- Writing. ----
+// ---- Writing ----
 
-void Journal::add_frames(MessageId number, const std::string& frames) {
-  pending_ += frames;
-  if (compacted_file_.is_open() && number <= compacted_up_to_) compacted_pending_ += frames;
+void Journal::queue_frames(MessageId id, const std::string& frames) {
+  pending_frames_ += frames;
+  if (compacted_file_.is_open() && id <= compacted_up_to_) compacted_pending_frames_ += frames;
 }
 
-void Journal::record_message(MessageId number, Message message) {
-  add_frames(number, encode_message(number, message));
+void Journal::record_message(MessageId id, Message message) {
+  queue_frames(id, encode_message(id, message));
   reserved_bytes_ += reserved_bytes(message);
-  messages_[number].message = std::move(message);
+  messages_[id].message = std::move(message);
 }
 
-void Journal::record_attempt(MessageId number, Time sent_at, int zone) {
-  messages_.at(number).attempts.push_back({sent_at, zone, std::nullopt});
-  add_frames(number, encode(AttemptRecord{number, sent_at, zone}));
+void Journal::record_attempt(MessageId id, Time sent_at, int zone) {
+  messages_.at(id).attempts.push_back({sent_at, zone, std::nullopt});
+  queue_frames(id, encode(AttemptRecord{id, sent_at, zone}));
 }
 
-void Journal::record_outcome(MessageId number, int attempt, Outcome outcome) {
-  messages_.at(number).attempts.at(static_cast<std::size_t>(attempt)).outcome = outcome;
-  add_frames(number, encode(OutcomeRecord{number, attempt, outcome}));
+void Journal::record_outcome(MessageId id, int attempt, Outcome outcome) {
+  messages_.at(id).attempts.at(static_cast<std::size_t>(attempt)).outcome = outcome;
+  queue_frames(id, encode(OutcomeRecord{id, attempt, outcome}));
 }
 
-void Journal::record_final_answer(MessageId number, FinalAnswer final_answer) {
-  set_final_answer(messages_.at(number), final_answer);
-  add_frames(number, encode(FinalAnswerRecord{number, final_answer}));
+void Journal::record_final_answer(MessageId id, FinalAnswer final_answer) {
+  set_final_answer(messages_.at(id), final_answer);
+  queue_frames(id, encode(FinalAnswerRecord{id, final_answer}));
 }
 
-void Journal::record_completed(MessageId number) {
-  const auto entry = messages_.find(number);
+void Journal::record_completed(MessageId id) {
+  const auto entry = messages_.find(id);
   if (entry == messages_.end()) return;
-  add_frames(number, encode(CompletedRecord{number}));
+  queue_frames(id, encode(CompletedRecord{id}));
   remove(entry);
 }
 
 void Journal::record_suspension(const std::string& endpoint, SuspensionState state) {
-  if (set_suspension(endpoint, state)) add_frames(kNoMessage, encode(SuspensionRecord{endpoint, state}));
+  if (set_suspension(endpoint, state)) queue_frames(kNoMessage, encode(SuspensionRecord{endpoint, state}));
 }
 
 bool Journal::commit() {
-  if (pending_.empty() && compacted_pending_.empty()) return true;
-  const std::uint64_t size_after = size_on_disk(file_.size() + pending_.size()) +
-                                   size_on_disk(compacted_file_.size() + compacted_pending_.size());
+  if (pending_frames_.empty() && compacted_pending_frames_.empty()) return true;
+  const std::uint64_t size_after = size_on_disk(file_.size() + pending_frames_.size()) +
+                                   size_on_disk(compacted_file_.size() + compacted_pending_frames_.size());
   if (size_after > limit_bytes_) return false;
   try {
-    if (!pending_.empty()) file_.append(pending_);
-    pending_.clear();
-    if (!compacted_pending_.empty()) compacted_file_.append(compacted_pending_);
-    compacted_pending_.clear();
+    if (!pending_frames_.empty()) file_.append(pending_frames_);
+    pending_frames_.clear();
+    if (!compacted_pending_frames_.empty()) compacted_file_.append(compacted_pending_frames_);
+    compacted_pending_frames_.clear();
   } catch (const std::system_error&) {
     return false;
   }
@@ -203,9 +215,9 @@
   return true;
 }
 
-// ---- Compaction. ----
+// ---- Compaction ----
 
-bool Journal::wants_compaction() const {
+bool Journal::needs_compaction() const {
   return compacted_file_.is_open() || file_.size() > limit_bytes_ / 100 * kCompactionPercent;
 }
 
@@ -214,7 +226,8 @@
   try {
     return compact_step();
   } catch (const std::system_error&) {
-    // The first file is complete; without space for the second one it must do for now.
+    // The compacted file cannot be written, for example because the disk is full. The current file is
+    // complete and stays in use.
     abandon_compaction();
     return false;
   }
@@ -255,7 +268,7 @@
     compacted_file_ = JournalFile();
     ::unlink(compacted_path_.c_str());
   }
-  compacted_pending_.clear();
+  compacted_pending_frames_.clear();
 }
 
 }  // namespace message_relay
--- a/relay/journal.hpp
+++ b/relay/journal.hpp
@@ -1,10 +1,10 @@
-// The relay's write-ahead log: the messages it has accepted, its attempts to deliver them, and the final
-// answers it still owes.
+// The relay's write-ahead log: the accepted messages, the attempts to deliver them, and the final answers
+// that the platform has not acknowledged.
 //
-// One file of framed records (journal_records.hpp), only appended to. When it holds too many records of
-// completed messages, a compaction copies the rest to a second file in bounded steps; the second file then
-// takes the place of the first by a rename. Both files together stay under the limit at all times; capacity
-// for the later records of each message is reserved when it is accepted.
+// The journal is one append-only file of framed records (journal_records.hpp). When records of completed
+// messages have made the file too large, a compaction copies the records of open messages to a second file in
+// bounded steps, then renames the second file over the first. Both files together never exceed the size
+// limit: space for the later records of a message is reserved when the message is accepted.
 #pragma once
 
 #include <cstdint>
@@ -21,54 +21,56 @@
 
 class Journal {
  public:
-  // Opens or creates the journal in this folder and reads it; an incomplete or damaged end is cut off. Both
-  // files together take at most `limit_bytes` of the disk. Throws std::system_error where the folder can't be
-  // used.
+  // Opens or creates the journal in this folder and reads it; everything after the last intact record is
+  // truncated. Both files together take at most `limit_bytes` of disk space. Throws std::system_error if the
+  // folder cannot be used.
   Journal(const std::string& folder, std::uint64_t limit_bytes);
   ~Journal() = default;
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  // The messages that are not completed.
+  // The messages that are not completed, by id.
   const std::map<MessageId, JournaledMessage>& messages() const { return messages_; }
-  // How many of them have no final answer.
+  // Number of messages that are not completed and have no final answer.
   std::size_t unanswered_count() const { return messages_.size() - final_answer_count_; }
-  // The endpoints that operators have suspended.
+  // Ids of the endpoints that operators have suspended.
   const std::set<std::string>& suspended_endpoints() const { return suspended_endpoints_; }
-  // Bytes that were cut off when the journal was opened.
+  // Number of bytes that were truncated when the journal was opened.
   std::uint64_t dropped_bytes() const { return dropped_bytes_; }
 
-  // Whether the message can be accepted, with all its later records, besides `other_bytes` that are reserved
-  // for messages not recorded yet.
-  bool has_capacity_for(const Message& message, std::uint64_t other_bytes = 0) const;
-  // Bytes that a message reserves until it is completed.
+  // Whether there is space for the message and all its later records, in addition to `other_reserved_bytes`
+  // for messages that are not recorded yet.
+  bool has_capacity_for(const Message& message, std::uint64_t other_reserved_bytes = 0) const;
+  // Number of bytes that a message reserves until it is completed.
   static std::uint64_t reserved_bytes(const Message& message);
 
-  // Each appends a record to those that commit() writes; nothing may be done on its strength before commit()
-  // has returned true. The message must be one of messages(); std::out_of_range is thrown otherwise.
-  void record_message(MessageId number, Message message);
-  void record_attempt(MessageId number, Time sent_at, int zone);
-  void record_outcome(MessageId number, int attempt, Outcome outcome);
-  void record_final_answer(MessageId number, FinalAnswer final_answer);
-  // Removes the message; does nothing where it is not there.
-  void record_completed(MessageId number);
-  // Does nothing where the endpoint is in this state already.
+  // Each of these functions adds a record for the next commit(). The step that is recorded must not be taken
+  // before commit() has returned true. record_message() adds a message; the other functions throw
+  // std::out_of_range if the message is not in messages(), unless stated otherwise.
+  void record_message(MessageId id, Message message);
+  void record_attempt(MessageId id, Time sent_at, int zone);
+  void record_outcome(MessageId id, int attempt, Outcome outcome);
+  void record_final_answer(MessageId id, FinalAnswer final_answer);
+  // Removes the message from messages(). Does nothing if it is not there.
+  void record_completed(MessageId id);
+  // Does nothing if the endpoint is already in this state.
   void record_suspension(const std::string& endpoint, SuspensionState state);
 
-  // Writes the records added since the last call; false, with the rest of them kept for the next call, where
-  // the disk does not take them now.
+  // Writes the records added since the last successful call. Returns false if they cannot be written now or
+  // would exceed the size limit; those not written are kept for the next call.
   bool commit();
 
-  bool wants_compaction() const;
-  // Takes one bounded step of a compaction, beginning one where none is under way; true while more steps are
-  // to come.
+  // Whether a compaction is in progress or the file is large enough to begin one.
+  bool needs_compaction() const;
+  // Performs one bounded step of a compaction; begins a compaction if none is in progress. Returns true if
+  // another step must follow, false if the compaction has finished or was abandoned.
   bool compact();
 
-  // Commits and leaves a single complete file, for another process to read; false where the disk does not
-  // take the last records now.
+  // Commits, then abandons a compaction in progress, so that another process can read a single complete file.
+  // Returns false if the last records cannot be written now.
   [[nodiscard]] bool consolidate();
 
-  // Disk space of both files, in whole blocks.
+  // Disk space of both files in bytes, rounded up to whole blocks.
   std::uint64_t bytes_on_disk() const;
 
  private:
@@ -84,9 +86,12 @@
   void apply(const SuspensionRecord& record);
   void apply(const UnknownRecord&) {}
 
-  void add_frames(MessageId number, const std::string& frames);
+  // Adds frames for the next commit(), also for the compacted file if it already has this message's records.
+  void queue_frames(MessageId id, const std::string& frames);
   void set_final_answer(JournaledMessage& message, const FinalAnswer& final_answer);
+  // Whether the state has changed.
   bool set_suspension(const std::string& endpoint, SuspensionState state);
+  // Removes a message and the bytes that it reserved.
   void remove(Messages::iterator entry);
 
   void begin_compaction();
@@ -98,16 +103,17 @@
   std::string compacted_path_;
   std::uint64_t limit_bytes_ = 0;
   JournalFile file_;
-  JournalFile compacted_file_;        // open while a compaction is under way
-  MessageId compacted_up_to_ = 0;     // the compacted file has all records of messages up to this one
-  std::string pending_;               // frames that commit() has still to write
-  std::string compacted_pending_;     // the same for the compacted file
-  std::uint64_t reserved_bytes_ = 0;  // by all messages
+  JournalFile compacted_file_;            // open while a compaction is in progress
+  MessageId compacted_up_to_ = 0;         // the compacted file has the records of all messages up to this id
+  std::string pending_frames_;            // frames that commit() has not written yet
+  std::string compacted_pending_frames_;  // the same for the compacted file
+  std::uint64_t reserved_bytes_ = 0;      // by all messages_ together
   std::uint64_t dropped_bytes_ = 0;
   Messages messages_;
-  std::size_t final_answer_count_ = 0;  // messages that have one
+  std::size_t final_answer_count_ = 0;  // messages that have a final answer
   std::set<std::string> suspended_endpoints_;
-  std::optional<MessageKeysRecord> keys_of_next_;  // while reading: read ahead of their message
+  // While recover() runs: the keys of a message whose own record, the next one, has not been read yet.
+  std::optional<MessageKeysRecord> preceding_keys_;
 };
 
 }  // namespace message_relay
--- a/relay/journal_compactor.cpp
+++ b/relay/journal_compactor.cpp
@@ -4,16 +4,16 @@
 
 namespace message_relay {
 
-void JournalCompactor::start_if_wanted() {
-  if (journal_.wants_compaction()) post_step();
+void JournalCompactor::start_if_needed() {
+  if (journal_.needs_compaction()) schedule_step();
 }
 
-void JournalCompactor::post_step() {
+void JournalCompactor::schedule_step() {
   if (running_) return;
   running_ = true;
   boost::asio::post(io_, [this] {
     running_ = false;
-    if (journal_.compact()) post_step();
+    if (journal_.compact()) schedule_step();
   });
 }
 
--- a/relay/journal_compactor.hpp
+++ b/relay/journal_compactor.hpp
@@ -1,4 +1,4 @@
-// Compacts the journal in bounded steps, with the event loop's other work between them.
+// Compacts the journal in bounded steps; the event loop handles other work between the steps.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,11 +11,13 @@
  public:
   JournalCompactor(boost::asio::io_context& io, Journal& journal) : io_(io), journal_(journal) {}
 
-  void start_if_wanted();
+  // Schedules the first step if the journal needs a compaction and no step is scheduled.
+  void start_if_needed();
+  // Whether a step is scheduled.
   [[nodiscard]] bool running() const { return running_; }
 
  private:
-  void post_step();
+  void schedule_step();
 
   boost::asio::io_context& io_;
   Journal& journal_;
--- a/relay/journal_file.cpp
+++ b/relay/journal_file.cpp
@@ -45,7 +45,7 @@
     if (count < 0 && errno == EINTR) continue;
     if (count <= 0) {
       const int error = count == 0 ? ENOSPC : errno;
-      // Half a record would hide those that are appended after it.
+      // Removes what was written: reading ends at an incomplete record, so all later records would be lost.
       truncate(size_);
       throw_system_error(error, path_);
     }
--- a/relay/journal_reader.cpp
+++ b/relay/journal_reader.cpp
@@ -10,30 +10,30 @@
 namespace message_relay {
 namespace {
 
-constexpr std::size_t kReadBytes = std::size_t{128} * 1024;  // read at once; more where one record is longer
+// Size of a read, unless a record is longer.
+constexpr std::size_t kReadChunkBytes = std::size_t{128} * 1024;
 
 }  // namespace
 
 bool JournalReader::read_header() {
-  if (next_bytes(kJournalHeader.size()) != kJournalHeader) return false;
+  if (read_bytes(kJournalHeader.size()) != kJournalHeader) return false;
   position_ = kJournalHeader.size();
   return true;
 }
 
 std::optional<JournalRecord> JournalReader::next() {
-  const auto header_bytes = next_bytes(kFrameHeaderBytes);
+  const auto header_bytes = read_bytes(kFrameHeaderBytes);
   if (!header_bytes) return std::nullopt;
   const FrameHeader header = decode_frame_header(*header_bytes);
   if (header.payload_size > kMaxPayloadBytes) return std::nullopt;
-  const auto payload = next_bytes(header.payload_size);
+  const auto payload = read_bytes(header.payload_size);
   if (!payload || checksum_of(*payload) != header.checksum) return std::nullopt;
   auto record = decode(*payload);
   if (record) position_ += kFrameHeaderBytes + header.payload_size;
   return record;
 }
 
-// The next so many bytes, valid until the next call; nothing where the file holds fewer.
-std::optional<std::string_view> JournalReader::next_bytes(std::size_t size) {
+std::optional<std::string_view> JournalReader::read_bytes(std::size_t size) {
   if (buffer_.size() - consumed_ < size) fill_buffer(size);
   if (buffer_.size() - consumed_ < size) return std::nullopt;
   const std::size_t start = std::exchange(consumed_, consumed_ + size);
@@ -43,7 +43,7 @@
 void JournalReader::fill_buffer(std::size_t size) {
   buffer_.erase(0, std::exchange(consumed_, 0));
   std::size_t available = buffer_.size();
-  buffer_.resize(std::max(size, kReadBytes));
+  buffer_.resize(std::max(size, kReadChunkBytes));
   while (available < size) {
     const auto count =
         ::pread(file_.descriptor(), buffer_.data() + available, buffer_.size() - available, file_offset_);
--- a/relay/journal_records.cpp
+++ b/relay/journal_records.cpp
@@ -10,8 +10,8 @@
 namespace message_relay {
 namespace {
 
-// The first byte of a payload. The letters are those under which earlier builds wrote the records; they are
-// part of the stored format and must never change.
+// The first byte of a payload. The letters are part of the stored format and must never change: earlier
+// builds wrote their records with them.
 enum class RecordKind : char {
   message = 'T',
   message_keys = 'K',
@@ -22,11 +22,11 @@
   suspension = 'H',
 };
 
-constexpr std::size_t kChecksumOffset = 4;
+constexpr std::size_t kChecksumOffset = 4;  // in the frame header, in bytes
 
-BinaryWriter begin_record(RecordKind kind, MessageId number) {
+BinaryWriter begin_record(RecordKind kind, MessageId id) {
   BinaryWriter writer;
-  writer.number(kind).number(number);
+  writer.number(kind).number(id);
   return writer;
 }
 
@@ -42,15 +42,15 @@
   return !message.idempotency_key.empty() || !message.order_key.empty();
 }
 
-std::string encode_keys(MessageId number, const Message& message) {
-  return frame(begin_record(RecordKind::message_keys, number)
+std::string encode_keys(MessageId id, const Message& message) {
+  return frame(begin_record(RecordKind::message_keys, id)
                    .text(message.idempotency_key)
                    .text(message.order_key)
                    .payload());
 }
 
-std::string encode_without_keys(MessageId number, const Message& message) {
-  return frame(begin_record(RecordKind::message, number)
+std::string encode_without_keys(MessageId id, const Message& message) {
+  return frame(begin_record(RecordKind::message, id)
                    .text(message.id)
                    .text(message.message_class)
                    .text(message.tenant)
@@ -61,9 +61,9 @@
                    .payload());
 }
 
-MessageRecord decode_message(MessageId number, BinaryReader& reader) {
+MessageRecord decode_message(MessageId id, BinaryReader& reader) {
   MessageRecord record;
-  record.number = number;
+  record.id = id;
   Message& message = record.message;
   message.id = reader.text();
   message.message_class = reader.text();
@@ -75,33 +75,33 @@
   return record;
 }
 
-MessageKeysRecord decode_keys(MessageId number, BinaryReader& reader) {
+MessageKeysRecord decode_keys(MessageId id, BinaryReader& reader) {
   MessageKeysRecord record;
-  record.number = number;
+  record.id = id;
   record.idempotency_key = reader.text();
   record.order_key = reader.text();
   return record;
 }
 
-AttemptRecord decode_attempt(MessageId number, BinaryReader& reader) {
+AttemptRecord decode_attempt(MessageId id, BinaryReader& reader) {
   AttemptRecord record;
-  record.number = number;
+  record.id = id;
   record.sent_at = reader.number<Time>();
   record.zone = reader.number<std::int32_t>();
   return record;
 }
 
-OutcomeRecord decode_outcome(MessageId number, BinaryReader& reader) {
+OutcomeRecord decode_outcome(MessageId id, BinaryReader& reader) {
   OutcomeRecord record;
-  record.number = number;
+  record.id = id;
   record.attempt = reader.number<std::int32_t>();
   record.outcome = static_cast<Outcome>(reader.number<char>());
   return record;
 }
 
-FinalAnswerRecord decode_final_answer(MessageId number, BinaryReader& reader) {
+FinalAnswerRecord decode_final_answer(MessageId id, BinaryReader& reader) {
   FinalAnswerRecord record;
-  record.number = number;
+  record.id = id;
   record.final_answer.retryable = reader.number<bool>();
   record.final_answer.retry_after = reader.number<Time>();
   return record;
@@ -115,23 +115,23 @@
   return record;
 }
 
-// Throws std::runtime_error where the payload is too short.
+// Throws std::runtime_error if the payload is too short.
 JournalRecord decode_fields(BinaryReader& reader) {
   const auto kind = reader.number<RecordKind>();
-  const auto number = reader.number<MessageId>();
+  const auto id = reader.number<MessageId>();
   switch (kind) {
     case RecordKind::message:
-      return decode_message(number, reader);
+      return decode_message(id, reader);
     case RecordKind::message_keys:
-      return decode_keys(number, reader);
+      return decode_keys(id, reader);
     case RecordKind::attempt:
-      return decode_attempt(number, reader);
+      return decode_attempt(id, reader);
     case RecordKind::outcome:
-      return decode_outcome(number, reader);
+      return decode_outcome(id, reader);
     case RecordKind::final_answer:
-      return decode_final_answer(number, reader);
+      return decode_final_answer(id, reader);
     case RecordKind::completed:
-      return CompletedRecord{number};
+      return CompletedRecord{id};
     case RecordKind::suspension:
       return decode_suspension(reader);
   }
@@ -140,35 +140,35 @@
 
 }  // namespace
 
-std::string encode_message(MessageId number, const Message& message) {
+std::string encode_message(MessageId id, const Message& message) {
   std::string frames;
-  if (has_keys(message)) frames = encode_keys(number, message);
-  return frames + encode_without_keys(number, message);
+  if (has_keys(message)) frames = encode_keys(id, message);
+  return frames + encode_without_keys(id, message);
 }
 
 std::string encode(const AttemptRecord& record) {
-  return frame(begin_record(RecordKind::attempt, record.number)
+  return frame(begin_record(RecordKind::attempt, record.id)
                    .number(record.sent_at)
                    .number(static_cast<std::int32_t>(record.zone))
                    .payload());
 }
 
 std::string encode(const OutcomeRecord& record) {
-  return frame(begin_record(RecordKind::outcome, record.number)
+  return frame(begin_record(RecordKind::outcome, record.id)
                    .number(static_cast<std::int32_t>(record.attempt))
                    .number(static_cast<char>(record.outcome))
                    .payload());
 }
 
 std::string encode(const FinalAnswerRecord& record) {
-  return frame(begin_record(RecordKind::final_answer, record.number)
+  return frame(begin_record(RecordKind::final_answer, record.id)
                    .number(record.final_answer.retryable)
                    .number(record.final_answer.retry_after)
                    .payload());
 }
 
 std::string encode(const CompletedRecord& record) {
-  return frame(begin_record(RecordKind::completed, record.number).payload());
+  return frame(begin_record(RecordKind::completed, record.id).payload());
 }
 
 std::string encode(const SuspensionRecord& record) {
@@ -176,26 +176,27 @@
       begin_record(RecordKind::suspension, kNoMessage).text(record.endpoint).number(record.state).payload());
 }
 
-std::string encode_all(MessageId number, const JournaledMessage& journaled) {
-  std::string frames = encode_message(number, journaled.message);
+std::string encode_all(MessageId id, const JournaledMessage& journaled) {
+  std::string frames = encode_message(id, journaled.message);
   for (std::size_t i = 0; i < journaled.attempts.size(); i++) {
     const Attempt& attempt = journaled.attempts[i];
-    frames += encode(AttemptRecord{number, attempt.sent_at, attempt.zone});
-    if (attempt.outcome) frames += encode(OutcomeRecord{number, static_cast<int>(i), *attempt.outcome});
+    frames += encode(AttemptRecord{id, attempt.sent_at, attempt.zone});
+    if (attempt.outcome) frames += encode(OutcomeRecord{id, static_cast<int>(i), *attempt.outcome});
   }
-  if (journaled.final_answer) frames += encode(FinalAnswerRecord{number, *journaled.final_answer});
+  if (journaled.final_answer) frames += encode(FinalAnswerRecord{id, *journaled.final_answer});
   return frames;
 }
 
 std::uint64_t encoded_size(const Message& message) {
-  constexpr std::uint64_t head = kFrameHeaderBytes + sizeof(RecordKind) + sizeof(MessageId);
-  constexpr std::uint64_t text_length = sizeof(std::uint32_t);
-  const std::uint64_t keys =
-      has_keys(message) ? head + 2 * text_length + message.idempotency_key.size() + message.order_key.size()
-                        : 0;
-  const std::uint64_t texts = 4 * text_length + message.id.size() + message.message_class.size() +
+  constexpr std::uint64_t record_prefix = kFrameHeaderBytes + sizeof(RecordKind) + sizeof(MessageId);
+  constexpr std::uint64_t text_length_bytes = sizeof(std::uint32_t);
+  const std::uint64_t keys_record =
+      has_keys(message)
+          ? record_prefix + 2 * text_length_bytes + message.idempotency_key.size() + message.order_key.size()
+          : 0;
+  const std::uint64_t texts = 4 * text_length_bytes + message.id.size() + message.message_class.size() +
                               message.tenant.size() + message.body.size();
-  return keys + head + texts + sizeof message.destination + sizeof message.deadline +
+  return keys_record + record_prefix + texts + sizeof message.destination + sizeof message.deadline +
          sizeof message.resubmitted;
 }
 
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -189,7 +189,7 @@
     }
     ASSERT_TRUE(journal.commit());
     ASSERT_LE(on_disk(), kLimit);
-    if (journal.wants_compaction()) journal.compact();
+    if (journal.needs_compaction()) journal.compact();
     ASSERT_LE(on_disk(), kLimit);
   }
   EXPECT_GT(refused, 0);
