--- a/relay/arrival_event.hpp
+++ b/relay/arrival_event.hpp
@@ -1,4 +1,4 @@
-// Translates a message of the journal into the dispatcher's terms.
+// Converts a message into the event that reports its arrival to the dispatcher.
 #pragma once
 
 #include "dispatch/dispatcher.hpp"
@@ -7,7 +7,7 @@
 
 namespace message_relay {
 
-// The class of `message` must be one of `names`: std::out_of_range otherwise.
+// Throws std::out_of_range if the class of `message` is not one of the classes in `names`.
 [[nodiscard]] dispatch::event::Arrival to_arrival(MessageId id, const Message& message,
                                                   const configuration::SettingNames& names);
 
--- a/relay/clock.hpp
+++ b/relay/clock.hpp
@@ -1,5 +1,5 @@
-// The two clocks. Intervals run on the steady one; what outlasts the process is written in wall time. All
-// times are in microseconds.
+// The two clocks. Intervals are measured on the steady clock; times that are stored beyond the life of the
+// process are wall times. All times are in microseconds.
 #pragma once
 
 #include <algorithm>
@@ -22,7 +22,7 @@
       .count();
 }
 
-// For timers: a time that has passed already is no wait.
+// Converts the time that a timer should wait; a negative time becomes 0.
 inline std::chrono::microseconds to_duration(Time time) {
   return std::chrono::microseconds(std::max<Time>(time, 0));
 }
--- a/relay/completed_ids.hpp
+++ b/relay/completed_ids.hpp
@@ -1,4 +1,5 @@
-// Client ids of completed messages, remembered for a while: handed in again, they are not sent again.
+// Client ids of completed messages, remembered for a limited time so that a message that its client submits
+// again is not delivered again.
 #pragma once
 
 #include <deque>
@@ -11,18 +12,21 @@
 namespace message_relay {
 
 struct CompletedId {
-  Time forget_at = 0;  // by the steady clock
+  Time expires_at = 0;  // steady time, microseconds
   std::string id;
   bool operator==(const CompletedId&) const = default;
 };
 
-// Invariant: at most kMaxIds are remembered; beyond that the oldest are forgotten first.
+// Invariant: at most kMaxIds ids are remembered; beyond that the oldest are evicted first.
 class CompletedIds {
  public:
+  // `retention` is in microseconds.
   explicit CompletedIds(Time retention) : retention_(retention) {}
 
+  // Remembers an id, after expired ids have been removed. An id that is remembered already keeps its expiry
+  // time.
   void add(const std::string& id, Time now) {
-    while (!entries_.empty() && (now >= entries_.front().forget_at || entries_.size() >= kMaxIds)) {
+    while (!entries_.empty() && (now >= entries_.front().expires_at || entries_.size() >= kMaxIds)) {
       ids_.erase(entries_.front().id);
       entries_.pop_front();
     }
@@ -31,7 +35,7 @@
   [[nodiscard]] bool contains(const std::string& id) const { return ids_.contains(id); }
   [[nodiscard]] std::size_t size() const { return ids_.size(); }
 
-  // For another process, which restores them.
+  // The entries that another process restores after a handover, the first to expire first.
   [[nodiscard]] const std::deque<CompletedId>& entries() const { return entries_; }
   void restore(const std::vector<CompletedId>& entries) {
     for (const CompletedId& entry : entries)
@@ -42,7 +46,7 @@
   static constexpr std::size_t kMaxIds = 16'384;
 
   Time retention_;
-  std::deque<CompletedId> entries_;  // soonest forgotten first
+  std::deque<CompletedId> entries_;  // the first to expire first
   std::unordered_set<std::string> ids_;
 };
 
--- a/relay/event_queue.cpp
+++ b/relay/event_queue.cpp
@@ -20,8 +20,8 @@
   if (round_due_) return;
   round_due_ = true;
   timer_.expires_after(to_duration(last_round_ + min_round_interval_ - steady_now()));
-  timer_.async_wait([this](error_code bad) {
-    if (!bad) run_round_();
+  timer_.async_wait([this](error_code error) {
+    if (!error) run_round_();
   });
 }
 
@@ -35,20 +35,20 @@
 
 void DispatcherTimers::set(Time due, std::uint64_t token) {
   tokens_.emplace(due, token);
-  arm();
+  schedule_next();
 }
 
-void DispatcherTimers::arm() {
+void DispatcherTimers::schedule_next() {
   if (tokens_.empty()) return;
   timer_.expires_after(to_duration(tokens_.begin()->first - steady_now()));
-  timer_.async_wait([this](error_code bad) {
-    if (bad) return;
+  timer_.async_wait([this](error_code error) {
+    if (error) return;
     const Time now = steady_now();
     while (!tokens_.empty() && tokens_.begin()->first <= now) {
       events_.add(dispatch::event::TimerExpired{tokens_.begin()->second});
       tokens_.erase(tokens_.begin());
     }
-    arm();
+    schedule_next();
   });
 }
 
--- a/relay/event_queue.hpp
+++ b/relay/event_queue.hpp
@@ -1,6 +1,7 @@
-// Events that wait for the next decision round, and the timer that begins it.
+// The queue of events for the next decision round, and the timer that starts the round.
 //
-// Invariant: rounds that the queue begins are at least the minimum interval apart, and at most one is due.
+// Invariant: a round that the queue starts begins at least the minimum interval after the previous round, and
+// at most one round is scheduled.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,17 +17,21 @@
 
 class EventQueue {
  public:
+  // `run_round` must call begin_round(). `min_round_interval` is in microseconds.
   EventQueue(boost::asio::io_context& io, Time min_round_interval, std::function<void()> run_round);
 
-  // Queues an event and has a round begin soon.
+  // Queues an event and requests a round.
   void add(dispatch::Event event);
-  // Queues an event for a round that the caller begins.
+  // Queues an event without requesting a round: the caller runs one, or the event waits for the next.
   void add_without_round(dispatch::Event event);
-  // Has a round begin as soon as the minimum interval allows.
+  // Schedules a round for the earliest time that the minimum interval allows, unless one is scheduled
+  // already.
   void request_round();
 
-  // To be called at the begin of each round, also of one that was not requested. Returns its time.
+  // Must be called at the start of each round, including rounds that were not requested. Returns the steady
+  // time of the round.
   Time begin_round();
+  // Returns the queued events in order and removes them.
   [[nodiscard]] std::vector<dispatch::Event> take();
 
   [[nodiscard]] bool empty() const { return events_.empty(); }
@@ -36,23 +41,24 @@
   Time min_round_interval_;
   std::function<void()> run_round_;
   std::vector<dispatch::Event> events_;
-  Time last_round_ = 0;
+  Time last_round_ = 0;  // steady time
   bool round_due_ = false;
 };
 
-// The timers that the dispatcher sets; each comes back to it as event::TimerExpired.
+// The timers that the dispatcher sets with action::SetTimer. Each queues event::TimerExpired when it is due.
 class DispatcherTimers {
  public:
   DispatcherTimers(boost::asio::io_context& io, EventQueue& events) : timer_(io), events_(events) {}
 
+  // `due` is a steady time.
   void set(Time due, std::uint64_t token);
 
  private:
-  void arm();
+  void schedule_next();
 
   boost::asio::steady_timer timer_;
   EventQueue& events_;
-  std::multimap<Time, std::uint64_t> tokens_;  // by when they are due
+  std::multimap<Time, std::uint64_t> tokens_;  // by due time
 };
 
 }  // namespace message_relay
--- a/relay/handover_state.cpp
+++ b/relay/handover_state.cpp
@@ -98,7 +98,7 @@
   for (const std::int64_t destination : state.destinations) record.number(destination);
   write_count(record, state.completed_ids);
   for (const CompletedId& completed : state.completed_ids)
-    record.number(completed.forget_at).text(completed.id);
+    record.number(completed.expires_at).text(completed.id);
   return record.payload();
 }
 
@@ -114,7 +114,7 @@
   read_list(in, [&] { state.destinations.push_back(in.number<std::int64_t>()); });
   read_list(in, [&] {
     CompletedId completed;
-    completed.forget_at = in.number<Time>();
+    completed.expires_at = in.number<Time>();
     completed.id = in.text();
     state.completed_ids.push_back(std::move(completed));
   });
--- a/relay/message.hpp
+++ b/relay/message.hpp
@@ -1,4 +1,4 @@
-// The messages that the relay delivers and what it knows of their delivery, as the journal holds them.
+// The messages that the relay delivers, and the state of their delivery that the journal stores.
 #pragma once
 
 #include <cstdint>
@@ -18,22 +18,22 @@
 struct Message {
   std::string id;  // the client's X-Request-Id
   std::string message_class;
-  std::string tenant;  // empty: none
+  std::string tenant;  // empty: no tenant
   std::int64_t destination = 0;
   Time deadline = 0;         // wall time, microseconds
-  bool resubmitted = false;  // the client has submitted it before
+  bool resubmitted = false;  // the client has submitted the message before
   std::string body;
-  std::string idempotency_key;  // by which its endpoint recognizes retries; empty: none
-  std::string order_key;        // messages with the same key are delivered one at a time; empty: none
+  std::string idempotency_key;  // lets the endpoint detect retries; empty: no key
+  std::string order_key;        // messages with the same key are delivered one at a time; empty: no key
 };
 
 // One attempt to deliver a message.
 struct Attempt {
   Time sent_at = 0;                // wall time, microseconds
-  int zone = -1;                   // of the endpoint; -1: unknown
-  std::optional<Outcome> outcome;  // none: not known, for instance since the process ended meanwhile
+  int zone = -1;                   // zone of the endpoint; -1: unknown
+  std::optional<Outcome> outcome;  // empty: not known, for example because the process ended first
 
-  // Whether the endpoint may have processed the message; false only where the outcome rules it out.
+  // Whether the endpoint may have executed the message; false only if the outcome rules that out.
   bool may_have_executed() const {
     if (!outcome) return true;
     return *outcome != Outcome::rejected && *outcome != Outcome::connect_failed &&
@@ -41,13 +41,13 @@
   }
 };
 
-// The answer to a message that is not delivered. The platform must be notified of it.
+// The final answer to a message that was not delivered. The platform must be notified of it.
 struct FinalAnswer {
-  bool retryable = false;  // submitting the message again is harmless
-  Time retry_after = 0;    // microseconds; 0: any time
+  bool retryable = false;  // the client may safely submit the message again
+  Time retry_after = 0;    // microseconds to wait before that; 0: no wait
 };
 
-// Everything that is known of a message whose delivery is not completed.
+// The state of a message that is not completed, as the journal's records give it.
 struct JournaledMessage {
   Message message;
   std::vector<Attempt> attempts;
--- a/relay/recovery.cpp
+++ b/relay/recovery.cpp
@@ -22,13 +22,14 @@
   return in_flight;
 }
 
-// The first attempt that may have executed, besides the one in flight.
-void describe_possible_execution(const std::vector<Attempt>& attempts, event::MessageRecovered& recovered) {
+// Sets zone and send time of the first attempt that may have been executed, other than the one in flight.
+void set_possible_execution(const std::vector<Attempt>& attempts, event::MessageRecovered& recovered) {
   for (std::size_t i = 0; i < attempts.size(); i++) {
     const bool is_in_flight = recovered.in_flight && static_cast<int>(i) == recovered.in_flight->attempt;
     if (is_in_flight || !attempts[i].may_have_executed()) continue;
     recovered.possible_execution_zone = attempts[i].zone;
-    // From wall time to the steady clock, on which the time may lie before this process's start.
+    // Converted from wall time to steady time; the result may precede the start of the steady clock and be
+    // negative.
     const Time elapsed = std::max<Time>(wall_now() - attempts[i].sent_at, 0);
     recovered.possible_execution_sent_at = steady_now() - elapsed;
     return;
@@ -42,7 +43,7 @@
   recovered.message = to_arrival(id, journaled.message, names);
   recovered.attempts_made = static_cast<int>(journaled.attempts.size());
   if (const auto call = in_flight.find(id); call != in_flight.end()) recovered.in_flight = call->second;
-  describe_possible_execution(journaled.attempts, recovered);
+  set_possible_execution(journaled.attempts, recovered);
   return recovered;
 }
 
--- a/relay/recovery.hpp
+++ b/relay/recovery.hpp
@@ -1,4 +1,4 @@
-// Recovery: what the messages that the journal holds at the start of a process need.
+// Recovery: determines how the messages that are in the journal at startup continue.
 #pragma once
 
 #include <vector>
@@ -10,14 +10,16 @@
 
 namespace message_relay {
 
-// The messages that the dispatcher does not decide on, ordered by id.
+// The messages that are not passed to the dispatcher, ordered by id.
 struct RecoveredMessages {
-  std::vector<MessageId> awaiting_notice;  // given up; the platform has not confirmed the final notice
-  std::vector<MessageId> unknown_class;    // of classes that the settings no longer have
+  // Messages with a final answer whose notice the platform has not acknowledged.
+  std::vector<MessageId> awaiting_notice;
+  // Messages of classes that are no longer in the settings.
+  std::vector<MessageId> unknown_class;
 };
 
-// Queues the journal's other messages for the dispatcher, ordered by id. `calls` are those in flight that
-// another process handed over.
+// Queues the other messages in the journal for the dispatcher, ordered by id. `calls` are the calls in flight
+// that another process handed over.
 [[nodiscard]] RecoveredMessages recover_messages(const Journal& journal,
                                                  const configuration::SettingNames& names,
                                                  const std::vector<InFlightCall>& calls, EventQueue& events);
