--- a/relay/endpoint_directory.cpp
+++ b/relay/endpoint_directory.cpp
@@ -10,7 +10,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxRememberedDestinations = 4096;  // besides those of listed endpoints
+// In addition to one destination for each listed endpoint.
+constexpr std::size_t kMaxRememberedDestinations = 4096;
+// Including the listed endpoints.
 constexpr std::size_t kMaxRememberedEndpoints = 16'384;
 
 bool has_independent_routes(const dispatch::Endpoint& endpoint,
@@ -31,14 +33,14 @@
 }
 
 std::vector<UnavailableEndpoint> EndpointDirectory::apply(const EndpointList& list) {
-  if (list.is_snapshot) mark_unnamed_as_removed(list);
+  if (list.is_snapshot) mark_unlisted_as_removed(list);
   add(list);
   list_received_ = true;
   std::vector<UnavailableEndpoint> unavailable;
   for (const auto& [id, endpoint] : endpoints_)
     if (endpoint.status != EndpointStatus::active) unavailable.push_back({id, endpoint.status});
   std::erase_if(endpoints_, [](const auto& entry) { return entry.second.status == EndpointStatus::removed; });
-  limit_memory();
+  limit_remembered_ids();
   return unavailable;
 }
 
@@ -50,14 +52,14 @@
   }
 }
 
-void EndpointDirectory::mark_unnamed_as_removed(const EndpointList& snapshot) {
-  std::set<EndpointId> named;
-  for (const auto& entry : snapshot.entries) named.insert(entry.endpoint.id);
+void EndpointDirectory::mark_unlisted_as_removed(const EndpointList& snapshot) {
+  std::set<EndpointId> listed;
+  for (const auto& entry : snapshot.entries) listed.insert(entry.endpoint.id);
   for (auto& [id, endpoint] : endpoints_)
-    if (!named.contains(id)) endpoint.status = EndpointStatus::removed;
+    if (!listed.contains(id)) endpoint.status = EndpointStatus::removed;
 }
 
-void EndpointDirectory::limit_memory() {
+void EndpointDirectory::limit_remembered_ids() {
   if (destinations_.size() > kMaxRememberedDestinations + endpoints_.size()) {
     destinations_.clear();
     for (const auto& [id, endpoint] : endpoints_) destinations_.insert(endpoint.destination);
@@ -83,7 +85,7 @@
                      [](const auto& entry) { return entry.second.status == EndpointStatus::active; });
 }
 
-std::vector<EndpointId> EndpointDirectory::bound_by_retry_after(
+std::vector<EndpointId> EndpointDirectory::endpoints_bound_by_retry_after(
     const EndpointId& id, const std::vector<dispatch::KindSettings>& kinds) const {
   const dispatch::Endpoint* source = find(id);
   if (source == nullptr) return {};
--- a/relay/endpoint_directory.hpp
+++ b/relay/endpoint_directory.hpp
@@ -1,7 +1,8 @@
-// The endpoints that discovery lists, and what earlier lists have named.
+// The directory of endpoints that discovery lists, with the endpoint ids and destinations of earlier lists.
 //
-// Invariant: every listed endpoint counts as ever listed, and its destination as known. Endpoints that a list
-// removes leave the directory at once; ids and destinations are remembered beyond that, up to a limit.
+// Invariant: the id of every listed endpoint is in ever_listed(), and its destination is known. Endpoints
+// that a list removes leave the directory immediately; their ids and destinations are remembered up to a
+// limit.
 #pragma once
 
 #include <map>
@@ -16,7 +17,7 @@
 using dispatch::DestinationId;
 using dispatch::EndpointId;
 
-// A listed endpoint that takes no new messages.
+// An endpoint that must not get new messages.
 struct UnavailableEndpoint {
   EndpointId id;
   dispatch::EndpointStatus status = dispatch::EndpointStatus::draining;  // draining or removed
@@ -24,29 +25,30 @@
 
 class EndpointDirectory {
  public:
-  // Starts from the list of an earlier process. It does not count as received from discovery.
+  // Loads the endpoint list of an earlier process. It does not count as received from discovery.
   void load_cached(const EndpointList& list);
 
-  // What another process remembered, besides its list.
+  // Restores what another process remembered in addition to its list.
   void restore(bool list_received, const std::vector<EndpointId>& ever_listed,
                const std::vector<DestinationId>& destinations);
 
-  // Takes over a snapshot or an update from discovery. Returns the endpoints that are draining or removed
-  // from now on, ordered by id.
+  // Applies a snapshot or an update from discovery. Returns all endpoints that are draining, and those that
+  // the list removes, ordered by id.
   [[nodiscard]] std::vector<UnavailableEndpoint> apply(const EndpointList& list);
 
-  // nullptr where it is not listed.
+  // nullptr if the endpoint is not listed.
   [[nodiscard]] const dispatch::Endpoint* find(const EndpointId& id) const;
   [[nodiscard]] bool is_active(const EndpointId& id) const;
   [[nodiscard]] bool has_active_endpoint() const;
   [[nodiscard]] bool was_ever_listed(const EndpointId& id) const { return ever_listed_.contains(id); }
   [[nodiscard]] bool knows_destination(DestinationId id) const { return destinations_.contains(id); }
-  // Whether discovery has sent a list to this process, or to one that it took over from.
+  // Whether discovery has sent a list to this process, or to an earlier one that handed over to it.
   [[nodiscard]] bool list_received() const { return list_received_; }
 
-  // The listed endpoints that a Retry-After of `id` binds: itself alone where the routes of its kind are
-  // independent, else all of its destination. Empty where `id` is not listed.
-  [[nodiscard]] std::vector<EndpointId> bound_by_retry_after(
+  // The listed endpoints that must get no calls when `id` responds with Retry-After: only `id` if the
+  // endpoints of its kind are independent, otherwise all endpoints of its destination. Empty if `id` is not
+  // listed.
+  [[nodiscard]] std::vector<EndpointId> endpoints_bound_by_retry_after(
       const EndpointId& id, const std::vector<dispatch::KindSettings>& kinds) const;
 
   [[nodiscard]] const std::map<EndpointId, dispatch::Endpoint>& endpoints() const { return endpoints_; }
@@ -55,8 +57,11 @@
 
  private:
   void add(const EndpointList& list);
-  void mark_unnamed_as_removed(const EndpointList& snapshot);
-  void limit_memory();
+  // Marks the endpoints that the snapshot does not contain.
+  void mark_unlisted_as_removed(const EndpointList& snapshot);
+  // Bounds the memory: if more ids or destinations than the limit are remembered, forgets all of them that no
+  // listed endpoint has.
+  void limit_remembered_ids();
 
   std::map<EndpointId, dispatch::Endpoint> endpoints_;
   std::set<EndpointId> ever_listed_;
@@ -67,7 +72,7 @@
 // The endpoints of a list, without their addresses.
 [[nodiscard]] std::vector<dispatch::Endpoint> endpoints_of(const EndpointList& list);
 
-// One line for each list, so that a call can be held against the list by which it was decided.
+// Logs one line for each list, so that operators can compare a call with the list on which it was based.
 void log_endpoint_list(const EndpointList& list);
 
 }  // namespace message_relay
--- a/relay/endpoint_list.cpp
+++ b/relay/endpoint_list.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// From wall time in milliseconds to the steady clock; 0 stays 0: long ago.
+// Converts wall time in milliseconds to steady time. 0 stays 0, which stands for a time long ago.
 Time to_steady_time(std::int64_t wall_milliseconds) {
   const Time wall = 1000 * wall_milliseconds;
   return wall == 0 ? 0 : steady_now() - (wall_now() - wall);
@@ -42,9 +42,9 @@
 boost::asio::ip::tcp::endpoint read_address(const std::string& text, const std::string& path) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) throw_field_error(path, "must be address:port");
-  boost::system::error_code bad;
-  const auto address = boost::asio::ip::make_address(text.substr(0, colon), bad);
-  if (bad) throw_field_error(path, "must hold a numeric address");
+  boost::system::error_code address_error;
+  const auto address = boost::asio::ip::make_address(text.substr(0, colon), address_error);
+  if (address_error) throw_field_error(path, "must hold a numeric address");
   std::uint16_t port = 0;
   const char *first = text.data() + colon + 1, *last = text.data() + text.size();
   const auto [end, error] = std::from_chars(first, last, port);
--- a/relay/endpoint_list.hpp
+++ b/relay/endpoint_list.hpp
@@ -1,6 +1,6 @@
-// The list of endpoints in discovery's form, as the configuration and the platform give it.
+// The endpoint list in the JSON format of discovery, as the configuration and the platform provide it.
 //
-// Keys and words of the form are discovery's.
+// Discovery defines the keys and values of the format.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,24 +12,26 @@
 
 namespace message_relay {
 
+// An entry of the list.
 struct ListedEndpoint {
   dispatch::Endpoint endpoint;
   boost::asio::ip::tcp::endpoint address;
 };
 
 struct EndpointList {
-  std::int64_t version = 0;  // discovery's
-  bool is_snapshot = false;  // the complete list; otherwise what changed
+  std::int64_t version = 0;  // assigned by discovery
+  bool is_snapshot = false;  // the complete list; otherwise only the entries that changed
   std::vector<ListedEndpoint> entries;
 };
 
-// Throws FieldError, naming the field, on what can't be read.
+// `path` is the location of `value` in its document. Throws FieldError with the path of a field that is
+// missing or invalid.
 [[nodiscard]] EndpointList read_endpoint_list(const configuration::JsonValue& value, const std::string& path,
                                               const configuration::SettingNames& names);
 
-// "127.0.0.1:8081"; throws FieldError naming `path`.
+// Parses "127.0.0.1:8081". Throws FieldError with `path` if the text has another form.
 [[nodiscard]] boost::asio::ip::tcp::endpoint read_address(const std::string& text, const std::string& path);
-// The form that read_address() reads, for IPv4.
+// Formats an address. read_address() parses the result for IPv4.
 [[nodiscard]] std::string format_address(const boost::asio::ip::tcp::endpoint& address);
 
 }  // namespace message_relay
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -230,7 +230,7 @@
   events_.add(ended);
   // Calls whose connections come up later must not go before the wait is over.
   if (ended.retry_after > 0) {
-    const auto bound = directory_.bound_by_retry_after(ended.endpoint, config_.settings.kinds);
+    const auto bound = directory_.endpoints_bound_by_retry_after(ended.endpoint, config_.settings.kinds);
     for (const EndpointId& endpoint : bound) delivery_.cancel_unsent(endpoint);
   }
 }
