--- a/relay/admission.cpp
+++ b/relay/admission.cpp
@@ -18,18 +18,18 @@
       events_(events) {}
 
 void Admission::submit(Message message, ResponseCallback respond) {
-  if (const auto first = duplicates_.find(message.id); first != duplicates_.end()) {
-    first->second.push_back(std::move(respond));
+  if (const auto original = duplicates_.find(message.id); original != duplicates_.end()) {
+    original->second.push_back(std::move(respond));
     return;
   }
-  // Handed in once more on a new connection, since the response was lost. A completed one must not be sent
-  // again either.
+  // The client submits the message again on a new connection because the response was lost. A message that
+  // has been completed since then must not be delivered again either.
   if (registry_.is_known(message.id)) {
     respond(kAccepted);
     return;
   }
   if (!directory_.knows_destination(message.destination)) {
-    // Before discovery has sent its list, the destination may only be unknown yet.
+    // Until discovery has sent a list, the relay cannot tell whether the destination exists.
     if (directory_.list_received())
       respond(kUnknownDestination);
     else
@@ -40,14 +40,14 @@
     reject(message.message_class, respond);
     return;
   }
-  respond = respond_to_all(message.id, std::move(respond));
-  pending_bytes_ += Journal::reserved_bytes(message);
+  respond = share_response_with_duplicates(message.id, std::move(respond));
+  pending_reserved_bytes_ += Journal::reserved_bytes(message);
   pending_.push_back({std::move(message), std::move(respond)});
   events_.request_round();
 }
 
 std::vector<PendingMessage> Admission::take_pending() {
-  pending_bytes_ = 0;
+  pending_reserved_bytes_ = 0;
   return std::exchange(pending_, {});
 }
 
@@ -59,10 +59,10 @@
 bool Admission::has_capacity_for(const Message& message) const {
   const std::size_t open_messages = pending_.size() + journal_.unanswered_count();
   return open_messages < max_open_messages_ && write_ahead_.journal_writable() &&
-         journal_.has_capacity_for(message, pending_bytes_);
+         journal_.has_capacity_for(message, pending_reserved_bytes_);
 }
 
-ResponseCallback Admission::respond_to_all(const std::string& id, ResponseCallback respond) {
+ResponseCallback Admission::share_response_with_duplicates(const std::string& id, ResponseCallback respond) {
   duplicates_[id];
   return [this, id, respond = std::move(respond)](const ClientResponse& response) {
     respond(response);
--- a/relay/admission.hpp
+++ b/relay/admission.hpp
@@ -1,7 +1,8 @@
-// Admission control: whether a message that a client hands in is taken on.
+// Admission control: decides whether a message that a client submits is recorded or rejected.
 //
-// Invariant: of each client id one message at a time is undecided; whoever hands in the same id meanwhile
-// gets the same response. Pending messages stand in no record yet: the next decision round takes them.
+// Invariant: at most one message per client id has a response that is still outstanding; clients that submit
+// the same id in the meantime get the same response. Pending messages are not recorded in the journal yet:
+// the next decision round takes them.
 #pragma once
 
 #include <functional>
@@ -20,6 +21,7 @@
 
 namespace message_relay {
 
+// A message that has passed the admission checks and waits for the next decision round.
 struct PendingMessage {
   Message message;
   ResponseCallback respond;
@@ -31,16 +33,20 @@
             const MessageRegistry& registry, const EndpointDirectory& directory, Metrics& metrics,
             EventQueue& events);
 
-  // Answers at once, or once the next decision round's records stand in the journal.
+  // Calls `respond` once: immediately if the message is rejected or already known, otherwise after the
+  // records of the next decision round are committed to the journal. If that commit fails, the message is
+  // rejected.
   void submit(Message message, ResponseCallback respond);
 
+  // Returns the pending messages, in the order of their submission, and removes them.
   [[nodiscard]] std::vector<PendingMessage> take_pending();
   [[nodiscard]] bool has_pending() const { return !pending_.empty(); }
 
  private:
   void reject(const std::string& message_class, const ResponseCallback& respond);
   [[nodiscard]] bool has_capacity_for(const Message& message) const;
-  ResponseCallback respond_to_all(const std::string& id, ResponseCallback respond);
+  // Wraps the callback so that clients that submit the same id until then get the same response.
+  ResponseCallback share_response_with_duplicates(const std::string& id, ResponseCallback respond);
 
   std::size_t max_open_messages_;
   const Journal& journal_;
@@ -50,8 +56,8 @@
   Metrics& metrics_;
   EventQueue& events_;
   std::vector<PendingMessage> pending_;
-  std::uint64_t pending_bytes_ = 0;  // that the journal will reserve for them
-  // By client id of an undecided message: the callbacks of those that handed it in once more.
+  std::uint64_t pending_reserved_bytes_ = 0;  // that the journal will reserve for the pending messages
+  // By client id of each message whose response is outstanding: the callbacks of its duplicate submissions.
   std::unordered_map<std::string, std::vector<ResponseCallback>> duplicates_;
 };
 
--- a/relay/decision_round.hpp
+++ b/relay/decision_round.hpp
@@ -1,8 +1,8 @@
-// The decision round: passes what has happened to the dispatcher and puts its decisions into effect.
+// The decision round: passes the queued events to the dispatcher and applies the actions that it returns.
 //
-// Invariant: the events of a round reach the dispatcher in the order in which they happened, and what a
-// decision does to messages is recorded before it is carried out. What touches no message (timers, the
-// endpoint list, gossip) takes effect at once.
+// Invariant: the dispatcher receives the events of a round in the order in which they occurred. Actions that
+// send or end a message are recorded in the journal before they are executed. Actions that change no
+// journaled message (cancelling attempts, timers, the endpoint list, gossip) are executed immediately.
 #pragma once
 
 #include <optional>
@@ -32,22 +32,24 @@
     WriteAheadQueue& write_ahead;
     DeliveryClient& delivery;
     Platform& platform;
-    std::optional<GossipChannel>& gossip;  // none: not configured
+    std::optional<GossipChannel>& gossip;  // empty: gossip is not configured
   };
 
   DecisionRound(const Config& config, const Collaborators& collaborators);
 
+  // Runs one round: admits the pending messages, dispatches the queued events and commits the records.
   void run();
 
-  // From now on rounds take on messages but decide nothing: no call begins any more.
-  void stop_deciding() { deciding_ = false; }
-  [[nodiscard]] bool deciding() const { return deciding_; }
+  // Later rounds still record the pending messages and accept them, but do not run the dispatcher, so that no
+  // new call starts.
+  void stop_dispatching() { dispatching_ = false; }
+  [[nodiscard]] bool is_dispatching() const { return dispatching_; }
 
  private:
-  void take_on_pending(PlanBuilder& plan);
-  void decide(PlanBuilder& plan);
+  void admit_pending_messages(PlanBuilder& plan);
+  void run_dispatcher(PlanBuilder& plan);
 
-  // Each puts one action of the dispatcher into effect.
+  // Each overload applies one action of the dispatcher: adds it to the plan or executes it immediately.
   void apply(const dispatch::action::Send& send, PlanBuilder& plan);
   void apply(const dispatch::action::Reject& reject, PlanBuilder& plan);
   void apply(const dispatch::action::Fail& fail, PlanBuilder& plan);
@@ -61,9 +63,9 @@
   void apply(const dispatch::action::Log& line, PlanBuilder& plan);
 
   const Config& config_;
-  Collaborators parts_;
-  Time started_at_ = 0;  // of the round under way, or of the last one
-  bool deciding_ = true;
+  Collaborators collaborators_;
+  Time started_at_ = 0;  // steady time of the current round, or of the last one between rounds
+  bool dispatching_ = true;
 };
 
 }  // namespace message_relay
--- a/relay/graceful_shutdown.hpp
+++ b/relay/graceful_shutdown.hpp
@@ -1,6 +1,6 @@
-// Graceful shutdown: answers clients, waits for calls in flight, then ends the process.
+// Graceful shutdown: responds to clients, waits for calls in flight, then lets the process end.
 //
-// Invariant: the process ends 3 s after the shutdown began at the latest; open messages stay in the journal.
+// Invariant: the shutdown takes at most 3 s; messages that are still open stay in the journal.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,20 +26,22 @@
   };
 
   GracefulShutdown(boost::asio::io_context& io, const Collaborators& collaborators)
-      : parts_(collaborators), timer_(io) {}
+      : collaborators_(collaborators), timer_(io) {}
 
-  // Calls `done` once the process may end. Further calls are ignored.
+  // Begins the shutdown; calls `done` when the process may end. Does nothing if a shutdown has begun before.
   void begin(std::function<void()> done);
 
  private:
+  // Ends the shutdown if everything has finished or the time is up, otherwise checks again later.
   void check();
   [[nodiscard]] bool deliveries_finished() const;
+  // `elapsed` is the time since the shutdown began, in microseconds.
   [[nodiscard]] bool clients_finished(Time elapsed) const;
 
-  Collaborators parts_;
+  Collaborators collaborators_;
   boost::asio::steady_timer timer_;
   std::function<void()> done_;
-  Time started_at_ = 0;
+  Time started_at_ = 0;  // steady time
 };
 
 }  // namespace message_relay
--- a/relay/message_registry.cpp
+++ b/relay/message_registry.cpp
@@ -33,12 +33,13 @@
   return open_ids_.contains(client_id) || completed_ids_.contains(client_id);
 }
 
-void MessageRegistry::complete(MessageId id, std::optional<Completion> completion, ClientView view) {
+void MessageRegistry::complete(MessageId id, std::optional<Completion> completion,
+                               AdmissionResult admission) {
   const auto entry = journal_.messages().find(id);
   if (entry == journal_.messages().end()) return;
   const Message& message = entry->second.message;
   if (completion) metrics_.count(message.message_class, *completion);
-  if (view == ClientView::accepted) completed_ids_.add(message.id, steady_now());
+  if (admission == AdmissionResult::accepted) completed_ids_.add(message.id, steady_now());
   open_ids_.erase(message.id);
   journal_.record_completed(id);
 }
--- a/relay/plan.hpp
+++ b/relay/plan.hpp
@@ -1,4 +1,5 @@
-// What a decision round decided: side effects that wait until their records stand in the journal.
+// The plan of a decision round: side effects that are executed after their records are committed to the
+// journal.
 #pragma once
 
 #include <optional>
@@ -10,23 +11,25 @@
 
 namespace message_relay {
 
-struct PendingAnswer {
-  // The open message that the answer accepts; none where the answer rejects it.
-  std::optional<MessageId> accepted;
+// A response to a client that is sent when the plan is executed.
+struct PendingResponse {
+  // The message that the response accepts; empty if the response rejects or fails the message.
+  std::optional<MessageId> accepted_message;
   ResponseCallback respond;
   ClientResponse response;
 };
 
-// Messages that travel in one call.
+// A call that carries a batch of messages to one endpoint.
 struct PlannedCall {
   EndpointId endpoint;
   std::vector<OutgoingMessage> messages;
 };
 
+// All side effects of a round, in the order in which they are executed.
 struct Plan {
-  std::vector<PendingAnswer> answers;
+  std::vector<PendingResponse> client_responses;
   std::vector<PlannedCall> calls;
-  std::vector<MessageId> final_notices;  // messages whose final answer is recorded
+  std::vector<MessageId> final_notices;  // messages whose recorded final answer is sent to the platform
 };
 
 }  // namespace message_relay
--- a/relay/plan_builder.cpp
+++ b/relay/plan_builder.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr int kUnknownZone = -1;
+constexpr int kUnknownZone = -1;  // recorded for an endpoint that is no longer listed
 
-ClientResponse response_of(const FinalAnswer& answer) {
+ClientResponse response_for(const FinalAnswer& answer) {
   return answer.retryable ? ClientResponse{503, answer.retry_after} : kFailed;
 }
 
@@ -21,8 +21,8 @@
                          const dispatch::Settings& settings, Time now)
     : journal_(journal), registry_(registry), directory_(directory), settings_(settings), now_(now) {}
 
-void PlanBuilder::await_decision(MessageId id, ResponseCallback respond) {
-  undecided_[id] = std::move(respond);
+void PlanBuilder::defer_response(MessageId id, ResponseCallback respond) {
+  deferred_responses_[id] = std::move(respond);
 }
 
 void PlanBuilder::send(const dispatch::action::Send& send) {
@@ -66,12 +66,12 @@
   plan_.calls.back().messages.push_back(std::move(message));
 }
 
-void PlanBuilder::give_up(MessageId id, const FinalAnswer& answer) {
+void PlanBuilder::end_without_delivery(MessageId id, const FinalAnswer& answer) {
   const auto entry = journal_.messages().find(id);
   if (entry == journal_.messages().end() || entry->second.final_answer) return;
-  if (auto undecided = undecided_.extract(id)) {
-    plan_.answers.push_back({std::nullopt, std::move(undecided.mapped()), response_of(answer)});
-    registry_.complete(id, completion_of(answer), ClientView::rejected);
+  if (auto deferred = deferred_responses_.extract(id)) {
+    plan_.client_responses.push_back({std::nullopt, std::move(deferred.mapped()), response_for(answer)});
+    registry_.complete(id, completion_of(answer), AdmissionResult::rejected);
     return;
   }
   journal_.record_final_answer(id, answer);
@@ -79,8 +79,9 @@
 }
 
 Plan PlanBuilder::finish() && {
-  for (auto& [id, respond] : undecided_) plan_.answers.push_back({id, std::move(respond), kAccepted});
-  undecided_.clear();
+  for (auto& [id, respond] : deferred_responses_)
+    plan_.client_responses.push_back({id, std::move(respond), kAccepted});
+  deferred_responses_.clear();
   return std::move(plan_);
 }
 
--- a/relay/plan_executor.cpp
+++ b/relay/plan_executor.cpp
@@ -8,9 +8,9 @@
                            DeliveryClient& delivery, Platform& platform, EventQueue& events)
     : journal_(journal), directory_(directory), delivery_(delivery), platform_(platform), events_(events) {}
 
-void PlanExecutor::carry_out(Plan plan) {
-  for (const PendingAnswer& answer : plan.answers) answer.respond(answer.response);
-  for (PlannedCall& call : plan.calls) begin_call(std::move(call));
+void PlanExecutor::execute(Plan plan) {
+  for (const PendingResponse& pending : plan.client_responses) pending.respond(pending.response);
+  for (PlannedCall& call : plan.calls) start_call(std::move(call));
   for (const MessageId id : plan.final_notices) {
     const auto entry = journal_.messages().find(id);
     if (entry == journal_.messages().end()) continue;
@@ -18,17 +18,19 @@
   }
 }
 
-void PlanExecutor::begin_call(PlannedCall call) {
-  drop_withdrawn_messages(call);
+void PlanExecutor::start_call(PlannedCall call) {
+  drop_completed_messages(call);
   if (call.messages.empty()) return;
   const bool may_still_receive = may_receive(call.endpoint);
   delivery_.send(call.endpoint, std::move(call.messages));
-  // Suspended or delisted while the records could not be written: the call ends as not sent.
+  // The endpoint was suspended, or is no longer listed as active, since the call was planned, while the
+  // journal could not be written. The call ends as Outcome::not_sent.
   if (!may_still_receive) delivery_.cancel_unsent(call.endpoint);
 }
 
-// A message may have been withdrawn while its records could not be written.
-void PlanExecutor::drop_withdrawn_messages(PlannedCall& call) {
+// A message may have been completed while its records could not be written, for example when its client was
+// rejected. Its attempt ends as Outcome::not_sent.
+void PlanExecutor::drop_completed_messages(PlannedCall& call) {
   std::erase_if(call.messages, [&](const OutgoingMessage& message) {
     if (journal_.messages().contains(message.id)) return false;
     dispatch::event::AttemptEnded ended;
--- a/relay/plan_executor.hpp
+++ b/relay/plan_executor.hpp
@@ -1,4 +1,4 @@
-// Carries out plans whose records stand in the journal.
+// Executes plans whose records are committed to the journal.
 #pragma once
 
 #include <vector>
@@ -17,12 +17,13 @@
   PlanExecutor(const Journal& journal, const EndpointDirectory& directory, DeliveryClient& delivery,
                Platform& platform, EventQueue& events);
 
-  // Answers clients, then begins calls, then hands final notices to the platform.
-  void carry_out(Plan plan);
+  // Sends the client responses, then starts the calls, then sends the final notices to the platform.
+  void execute(Plan plan);
 
  private:
-  void begin_call(PlannedCall call);
-  void drop_withdrawn_messages(PlannedCall& call);
+  void start_call(PlannedCall call);
+  void drop_completed_messages(PlannedCall& call);
+  // Whether the endpoint is listed as active and no operator has suspended it.
   [[nodiscard]] bool may_receive(const EndpointId& endpoint) const;
 
   const Journal& journal_;
--- a/relay/readiness.hpp
+++ b/relay/readiness.hpp
@@ -1,4 +1,4 @@
-// Whether the relay takes messages, as the health check and STATUS tell it.
+// Whether the relay is ready to accept messages, as the health check and the STATUS command report it.
 #pragma once
 
 #include <optional>
@@ -15,12 +15,13 @@
   Readiness(const EndpointDirectory& directory, const WriteAheadQueue& write_ahead)
       : directory_(directory), write_ahead_(write_ahead) {}
 
+  // The process is shutting down. This cannot be undone.
   void set_stopping() { stopping_ = true; }
   [[nodiscard]] bool stopping() const { return stopping_; }
   void set_paused(bool paused) { paused_ = paused; }
   [[nodiscard]] bool paused() const { return paused_; }
 
-  // The first reason that holds, in the order of the enumeration; none where the relay is ready.
+  // The first reason that applies, in the order of the enumeration; empty if the relay is ready.
   [[nodiscard]] std::optional<NotReadyReason> not_ready_reason() const {
     if (stopping_) return NotReadyReason::stopping;
     if (paused_) return NotReadyReason::paused;
@@ -33,7 +34,7 @@
   const EndpointDirectory& directory_;
   const WriteAheadQueue& write_ahead_;
   bool stopping_ = false;
-  bool paused_ = false;  // by operators: clients are sent away
+  bool paused_ = false;  // by an operator; client connections are drained
 };
 
 }  // namespace message_relay
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -16,14 +16,16 @@
 
 namespace {
 
-// Part of the memory that the bodies of requests under way may fill: one eighth.
+// The bodies of requests that are being read may take one eighth of the memory.
 constexpr std::size_t kRequestBodyMemoryDivisor = 8;
 
-// Discovery sends an empty line on a silent watch this often.
+// Discovery sends an empty line on a watch at this interval while the list does not change.
 constexpr std::chrono::microseconds kWatchHeartbeatInterval = std::chrono::seconds(2);
+// Upper bound of the drain grace from which platform_timeouts() derives, and its value if the setting is 0.
 constexpr std::chrono::microseconds kMaxDrainGrace = std::chrono::seconds(2);
-// The platform answers a notice at once; a message whose notice is 300 ms late is lost.
-constexpr std::chrono::microseconds kNoticeTimeout = std::chrono::milliseconds(75);
+// The platform responds to a final notice without delay, and counts a message as lost if its notice is 300 ms
+// late. This timeout leaves time for retries.
+constexpr std::chrono::microseconds kNoticeResponseTimeout = std::chrono::milliseconds(75);
 
 DeliveryLimits delivery_limits(const Config& config) {
   DeliveryLimits limits;
@@ -35,17 +37,18 @@
   return limits;
 }
 
-// Where lists are pushed, a call for the list without an answer and a silent watch are given up so soon that
-// another can still tell of a draining endpoint within its grace period.
+// If discovery pushes the list, unanswered queries and silent watches time out early enough that a new query
+// or watch can still report a draining endpoint within its grace period.
 PlatformTimeouts platform_timeouts(const dispatch::Settings& settings) {
   if (!settings.list_is_pushed)
-    return {to_duration(settings.poll_timeout), to_duration(settings.subscription_timeout), kNoticeTimeout};
+    return {to_duration(settings.poll_timeout), to_duration(settings.subscription_timeout),
+            kNoticeResponseTimeout};
   const auto grace =
       settings.drain_grace > 0 ? std::min(to_duration(settings.drain_grace), kMaxDrainGrace) : kMaxDrainGrace;
-  return {grace / 4, kWatchHeartbeatInterval + grace / 2, kNoticeTimeout};
+  return {grace / 4, kWatchHeartbeatInterval + grace / 2, kNoticeResponseTimeout};
 }
 
-// The endpoint list as an earlier process had it last.
+// The last endpoint list of an earlier process.
 const EndpointList& cached_list(const Config& config, const StartupOwnership& ownership) {
   return ownership.inherited ? ownership.inherited->endpoint_list : config.cached_list;
 }
@@ -75,27 +78,27 @@
           [this](event::SubscriptionLossReason reason) {
             events_.add(event::EndpointListSubscriptionLost{reason});
           },
-          [this](const std::vector<MessageId>& ids) { on_notices_confirmed(ids); }),
-      events_(io, config.settings.min_round_interval, [this] { round_.run(); }),
+          [this](const std::vector<MessageId>& ids) { on_notices_acknowledged(ids); }),
+      events_(io, config.settings.min_round_interval, [this] { decision_round_.run(); }),
       timers_(io, events_),
-      executor_(journal_, directory_, delivery_, platform_, events_),
-      write_ahead_(io, journal_, registry_, executor_, events_),
+      plan_executor_(journal_, directory_, delivery_, platform_, events_),
+      write_ahead_(io, journal_, registry_, plan_executor_, events_),
       readiness_(directory_, write_ahead_),
       admission_(static_cast<std::size_t>(config.settings.max_open_messages), journal_, write_ahead_,
                  registry_, directory_, metrics_, events_),
       compactor_(io, journal_),
-      round_(config, {.dispatcher = dispatcher_,
-                      .events = events_,
-                      .timers = timers_,
-                      .admission = admission_,
-                      .journal = journal_,
-                      .compactor = compactor_,
-                      .registry = registry_,
-                      .directory = directory_,
-                      .write_ahead = write_ahead_,
-                      .delivery = delivery_,
-                      .platform = platform_,
-                      .gossip = gossip_}) {
+      decision_round_(config, {.dispatcher = dispatcher_,
+                               .events = events_,
+                               .timers = timers_,
+                               .admission = admission_,
+                               .journal = journal_,
+                               .compactor = compactor_,
+                               .registry = registry_,
+                               .directory = directory_,
+                               .write_ahead = write_ahead_,
+                               .delivery = delivery_,
+                               .platform = platform_,
+                               .gossip = gossip_}) {
   if (config.settings.gossip && config.peer_listen)
     gossip_.emplace(io, *config.peer_listen, config.peers, config.peers_all, config.settings.relay_index,
                     [this](int sender, std::string payload) {
@@ -104,29 +107,29 @@
   load_cached_list(cached_list(config, ownership_));
   if (ownership_.inherited) restore_inherited(*ownership_.inherited);
   recover(ownership_.inherited ? ownership_.inherited->calls : std::vector<InFlightCall>());
-  round_.run();
+  decision_round_.run();
   listen_for_clients();
   if (ownership_.inherited) adopt_inherited_clients();
   shutdown_.emplace(io, GracefulShutdown::Collaborators{.readiness = readiness_,
-                                                        .round = round_,
+                                                        .round = decision_round_,
                                                         .journal = journal_,
                                                         .write_ahead = write_ahead_,
                                                         .admission = admission_,
                                                         .delivery = delivery_,
                                                         .ingress = *ingress_});
-  listen_for_successors();
+  listen_for_handover_requests();
   listen_for_operators();
   log("listening as " + config.name);
 }
 
-// ---- Start. ----
+// ---- Startup ----
 void Relay::load_cached_list(const EndpointList& list) {
   for (const auto& entry : list.entries) delivery_.set_address(entry.endpoint.id, entry.address);
   directory_.load_cached(list);
   events_.add_without_round(event::EndpointListSnapshot{endpoints_of(list), true});
 }
 
-// What another process handed over and the journal does not hold.
+// Restores the handed-over state that is not in the journal.
 void Relay::restore_inherited(const HandoverState& state) {
   readiness_.set_paused(state.paused);
   directory_.restore(state.list_received, state.ever_listed, state.destinations);
@@ -135,11 +138,12 @@
   for (const auto& call : state.calls) delivery_.adopt(call);
 }
 
-// What an earlier process took on is still owed its end.
+// Messages that an earlier process accepted must still be delivered or answered. `calls` are the handed-over
+// calls in flight.
 void Relay::recover(const std::vector<InFlightCall>& calls) {
   if (journal_.dropped_bytes() > 0)
-    log("journal: dropped " + std::to_string(journal_.dropped_bytes()) +
-        " bytes of an incomplete record at its end");
+    log("journal: removed " + std::to_string(journal_.dropped_bytes()) +
+        " bytes after the last intact record");
   for (const auto& endpoint : journal_.suspended_endpoints())
     events_.add_without_round(event::EndpointSuspension{endpoint, true});
   registry_.index_journal();
@@ -182,9 +186,9 @@
   ownership_.inherited.reset();
 }
 
-void Relay::listen_for_successors() {
+void Relay::listen_for_handover_requests() {
   upgrade_.emplace(io_, config_, ownership_.lock.get(),
-                   Upgrade::Collaborators{.round = round_,
+                   Upgrade::Collaborators{.round = decision_round_,
                                           .events = events_,
                                           .admission = admission_,
                                           .write_ahead = write_ahead_,
@@ -197,8 +201,8 @@
                                           .platform = platform_,
                                           .delivery = delivery_,
                                           .ingress = *ingress_});
-  successors_.emplace(io_, config_.state_folder,
-                      [this](HandoverChannel channel) { upgrade_->request(std::move(channel)); });
+  handover_listener_.emplace(io_, config_.state_folder,
+                             [this](HandoverChannel channel) { upgrade_->request(std::move(channel)); });
 }
 
 void Relay::listen_for_operators() {
@@ -206,29 +210,30 @@
   operator_commands_.emplace(OperatorCommands::Collaborators{.readiness = readiness_,
                                                              .journal = journal_,
                                                              .events = events_,
-                                                             .round = round_,
+                                                             .round = decision_round_,
                                                              .write_ahead = write_ahead_,
                                                              .directory = directory_,
                                                              .delivery = delivery_,
                                                              .ingress = *ingress_,
                                                              .dispatcher = dispatcher_,
                                                              .metrics = metrics_});
-  operators_.emplace(io_, *config_.operators, config_.operator_connections,
-                     [this](const OperatorCommand& command) { return operator_commands_->run(command); });
+  operator_server_.emplace(
+      io_, *config_.operators, config_.operator_connections,
+      [this](const OperatorCommand& command) { return operator_commands_->run(command); });
 }
 
-// ---- What endpoints and the platform report. ----
+// ---- Results of attempts and notifications of the platform ----
 void Relay::on_attempt_ended(const event::AttemptEnded& ended) {
   if (ended.message_settled) {
     const bool succeeded = ended.outcome == Outcome::succeeded;
     registry_.complete(ended.id, succeeded ? std::optional(Completion::succeeded) : std::nullopt,
-                       ClientView::accepted);
+                       AdmissionResult::accepted);
   } else if (journal_.messages().contains(ended.id)) {
     journal_.record_outcome(ended.id, ended.attempt, ended.outcome);
   }
   write_ahead_.commit();
   events_.add(ended);
-  // Calls whose connections come up later must not go before the wait is over.
+  // Calls that still wait for a connection must not be sent before the Retry-After period is over.
   if (ended.retry_after > 0) {
     const auto bound = directory_.endpoints_bound_by_retry_after(ended.endpoint, config_.settings.kinds);
     for (const EndpointId& endpoint : bound) delivery_.cancel_unsent(endpoint);
@@ -240,7 +245,7 @@
   const std::vector<UnavailableEndpoint> unavailable = directory_.apply(list);
   log_endpoint_list(list);
   for (const auto& [id, status] : unavailable) {
-    stop_using(id);
+    stop_sending_to(id);
     if (status == EndpointStatus::removed) delivery_.forget(id);
   }
   if (list.is_snapshot)
@@ -249,23 +254,23 @@
     events_.add(event::EndpointListUpdate{endpoints_of(list)});
 }
 
-void Relay::on_notices_confirmed(const std::vector<MessageId>& ids) {
-  for (const MessageId id : ids) complete_noticed(id);
+void Relay::on_notices_acknowledged(const std::vector<MessageId>& ids) {
+  for (const MessageId id : ids) complete_acknowledged(id);
   write_ahead_.commit();
 }
 
-void Relay::complete_noticed(MessageId id) {
+void Relay::complete_acknowledged(MessageId id) {
   const auto entry = journal_.messages().find(id);
   if (entry == journal_.messages().end() || !entry->second.final_answer) return;
-  registry_.complete(id, completion_of(*entry->second.final_answer), ClientView::accepted);
+  registry_.complete(id, completion_of(*entry->second.final_answer), AdmissionResult::accepted);
 }
 
-void Relay::stop_using(const EndpointId& endpoint) {
+void Relay::stop_sending_to(const EndpointId& endpoint) {
   delivery_.cancel_unsent(endpoint);
   delivery_.close_idle(endpoint);
 }
 
-// ---- Changes while it runs. ----
+// ---- Reconfiguration and shutdown ----
 void Relay::reconfigure(const Config& config) {
   log("configuration reloaded: discovery at " + format_address(config.discovery));
   platform_.relocate(config.discovery);
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -1,7 +1,8 @@
-// One relay: wires its parts together, recovers what earlier processes left, and reacts to endpoints and the
-// platform.
+// The relay: connects its components, recovers the state that earlier processes left, and handles the results
+// of attempts and the notifications of the platform.
 //
-// Invariant: no action on a message is taken before its record stands in the journal.
+// Invariant: no message is accepted, sent to an endpoint or reported to the platform before the record of
+// that step is committed to the journal.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -37,69 +38,73 @@
 
 class Relay {
  public:
-  // Recovers from the state folder, goes on with what another process handed over, then listens. Throws
-  // std::system_error where the state folder or an address can't be used.
+  // Recovers the messages in the state folder, continues with the state that another process handed over,
+  // then listens. Throws std::system_error if the state folder or an address cannot be used. `config` must
+  // outlive the relay.
   Relay(boost::asio::io_context& io, const Config& config, StartupOwnership ownership);
 
-  // Applies what may change while the relay runs: the address of discovery.
+  // Applies the only setting that may change while the relay runs: the address of discovery.
   void reconfigure(const Config& config);
-  // Shuts down gracefully, then calls `done`, within 3 s.
+  // Shuts down gracefully, then calls `done`, at most 3 s later.
   void stop(std::function<void()> done);
 
  private:
-  // ---- Start. ----
+  // ---- Startup ----
   void load_cached_list(const EndpointList& list);
   void restore_inherited(const HandoverState& state);
   void recover(const std::vector<InFlightCall>& calls);
   void listen_for_clients();
   void adopt_inherited_clients();
-  void listen_for_successors();
+  void listen_for_handover_requests();
   void listen_for_operators();
-  // The listening socket of the process handed over from, which never stops listening; else a new one.
+  // The listening socket of the process that handed over, so that the port is listened on without a gap;
+  // otherwise a new socket.
   [[nodiscard]] boost::asio::ip::tcp::acceptor client_acceptor() const;
 
-  // ---- What endpoints and the platform report. ----
+  // ---- Results of attempts and notifications of the platform ----
   void on_attempt_ended(const dispatch::event::AttemptEnded& ended);
   void on_endpoint_list(const EndpointList& list);
-  void on_notices_confirmed(const std::vector<MessageId>& ids);
-  void complete_noticed(MessageId id);
+  void on_notices_acknowledged(const std::vector<MessageId>& ids);
+  void complete_acknowledged(MessageId id);
 
-  // Sends nothing new to an endpoint, also not by connections that still come up.
-  void stop_using(const EndpointId& endpoint);
+  // Closes the endpoint's idle connections and ends its calls that are not sent yet, including those that
+  // wait for a connection to be established.
+  void stop_sending_to(const EndpointId& endpoint);
 
   boost::asio::io_context& io_;
   const Config& config_;
   StartupOwnership ownership_;
 
-  // State.
+  // State of messages and endpoints.
   Journal journal_;
   dispatch::Dispatcher dispatcher_;
   Metrics metrics_;
   MessageRegistry registry_;
   EndpointDirectory directory_;
 
-  // Connections to others.
+  // Outgoing connections.
   DeliveryClient delivery_;
   Platform platform_;
-  std::optional<GossipChannel> gossip_;  // where one is configured
+  std::optional<GossipChannel> gossip_;  // empty: gossip is not configured
 
-  // Decisions and their effects.
+  // Decision rounds and the execution of their plans.
   EventQueue events_;
   DispatcherTimers timers_;
-  PlanExecutor executor_;
+  PlanExecutor plan_executor_;
   WriteAheadQueue write_ahead_;
   Readiness readiness_;
   Admission admission_;
   JournalCompactor compactor_;
-  DecisionRound round_;
+  DecisionRound decision_round_;
 
-  // Set by the constructor once all else stands: they listen at once.
+  // Constructed at the end of the constructor, after recovery, because the servers accept connections as soon
+  // as they exist.
   std::optional<IngressServer> ingress_;
   std::optional<GracefulShutdown> shutdown_;
   std::optional<Upgrade> upgrade_;
-  std::optional<HandoverListener> successors_;
+  std::optional<HandoverListener> handover_listener_;
   std::optional<OperatorCommands> operator_commands_;
-  std::optional<OperatorServer> operators_;
+  std::optional<OperatorServer> operator_server_;
 };
 
 }  // namespace message_relay
--- a/relay/write_ahead.cpp
+++ b/relay/write_ahead.cpp
@@ -18,39 +18,40 @@
                                  PlanExecutor& executor, EventQueue& events)
     : journal_(journal), registry_(registry), executor_(executor), events_(events), retry_timer_(io) {}
 
-void WriteAheadQueue::enqueue(Plan plan) { waiting_.push_back(std::move(plan)); }
+void WriteAheadQueue::enqueue(Plan plan) { queued_plans_.push_back(std::move(plan)); }
 
 void WriteAheadQueue::commit() {
   if (!journal_.commit()) {
-    // Records outside a plan keep the queue from being empty, too.
-    if (waiting_.empty()) waiting_.emplace_back();
+    // Records can also be added without a plan. The empty plan keeps empty() false until they are committed.
+    if (queued_plans_.empty()) queued_plans_.emplace_back();
     if (std::exchange(journal_writable_, false))
-      log("journal: can't be written; rejecting messages until it can");
+      log("journal: commit failed; rejecting messages until a retry succeeds");
     reject_waiting_clients();
-    retry_later();
+    schedule_retry();
     return;
   }
-  if (!std::exchange(journal_writable_, true)) log("journal: can be written again");
-  for (Plan& plan : std::exchange(waiting_, {})) executor_.carry_out(std::move(plan));
+  if (!std::exchange(journal_writable_, true)) log("journal: commit succeeded again; accepting messages");
+  for (Plan& plan : std::exchange(queued_plans_, {})) executor_.execute(std::move(plan));
 }
 
-// Clients wait only for so long, and what stands in no record was not accepted.
+// Clients wait for a response only for a limited time, and a message whose record is not committed must not
+// be accepted.
 void WriteAheadQueue::reject_waiting_clients() {
-  for (Plan& plan : waiting_) {
-    for (const PendingAnswer& answer : plan.answers) {
-      answer.respond(kTemporarilyRejected);
-      if (!answer.accepted) continue;
-      registry_.complete(*answer.accepted, Completion::declined, ClientView::rejected);
-      events_.add(dispatch::event::ClientCancelled{*answer.accepted});
+  for (Plan& plan : queued_plans_) {
+    for (const PendingResponse& pending : plan.client_responses) {
+      pending.respond(kTemporarilyRejected);
+      if (!pending.accepted_message) continue;
+      registry_.complete(*pending.accepted_message, Completion::declined, AdmissionResult::rejected);
+      events_.add(dispatch::event::ClientCancelled{*pending.accepted_message});
     }
-    plan.answers.clear();
+    plan.client_responses.clear();
   }
 }
 
-void WriteAheadQueue::retry_later() {
+void WriteAheadQueue::schedule_retry() {
   retry_timer_.expires_after(kCommitRetryInterval);
-  retry_timer_.async_wait([this](boost::system::error_code bad) {
-    if (!bad) commit();
+  retry_timer_.async_wait([this](boost::system::error_code error) {
+    if (!error) commit();
   });
 }
 
--- a/relay/write_ahead.hpp
+++ b/relay/write_ahead.hpp
@@ -1,7 +1,7 @@
-// Write-ahead: a plan is carried out once its records stand in the journal, in the order of the plans.
+// Write-ahead queue: executes plans in order, each after its records have been committed to the journal.
 //
-// Invariant: while a commit fails, no plan is carried out and no client is told that its message is accepted.
-// The commit is retried until it succeeds.
+// Invariant: while commits fail, no plan is executed and no client is told that its message is accepted. The
+// commit is retried until it succeeds.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,25 +21,27 @@
   WriteAheadQueue(boost::asio::io_context& io, Journal& journal, MessageRegistry& registry,
                   PlanExecutor& executor, EventQueue& events);
 
-  // Queues a plan whose records were added to the journal; commit() carries it out.
+  // Queues a plan whose records have been added to the journal; commit() executes it.
   void enqueue(Plan plan);
-  // Commits the journal's added records, then carries out the queued plans.
+  // Commits the records added to the journal, then executes the queued plans. If the commit fails, rejects
+  // the clients whose responses are in the queued plans, and retries later.
   void commit();
 
   // Whether the last commit succeeded.
   [[nodiscard]] bool journal_writable() const { return journal_writable_; }
-  [[nodiscard]] bool empty() const { return waiting_.empty(); }
+  // Whether no plan is queued and no failed commit is to be retried.
+  [[nodiscard]] bool empty() const { return queued_plans_.empty(); }
 
  private:
   void reject_waiting_clients();
-  void retry_later();
+  void schedule_retry();
 
   Journal& journal_;
   MessageRegistry& registry_;
   PlanExecutor& executor_;
   EventQueue& events_;
   boost::asio::steady_timer retry_timer_;
-  std::vector<Plan> waiting_;  // for their records to stand
+  std::vector<Plan> queued_plans_;  // their records are not committed yet
   bool journal_writable_ = true;
 };
 
