--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -16,18 +16,22 @@
 
 namespace {
 
-const std::string kRoot = "config";  // begins the path of each field in an error's text
+// Begins the path of each field in error messages.
+const std::string kRoot = "config";
 
-// Descriptors that are no connections of clients or to endpoints: standard streams, the event loop, signals,
-// the journal's files, discovery, gossip, the listening socket; one of a client that is rejected.
-constexpr std::size_t kOtherDescriptors = 24;
+// Number of descriptors for other uses than connections of clients and to endpoints: standard streams, the
+// event loop, signals, the journal's files, discovery, gossip, the listening socket, and the connection of a
+// client that is being rejected.
+constexpr std::size_t kReservedDescriptors = 24;
 constexpr int kMinDescriptors = 64;
-// One of this many descriptors is for an operator, up to the maximum; one more listens for them.
+// There is one operator connection for each 16 descriptors, up to the maximum. The listening socket for
+// operators needs one more descriptor.
 constexpr std::size_t kDescriptorsPerOperator = 16;
 constexpr std::size_t kMaxOperatorConnections = 16;
-// Of 10^6 bytes, the smaller of the two readings.
+// A megabyte means 10^6 bytes here. That is the smaller of its two usual meanings, so a limit holds under
+// both.
 constexpr double kBytesPerMegabyte = 1e6;
-constexpr int kHexadecimal = 16;
+constexpr int kHexadecimalBase = 16;
 
 using TcpEndpoint = boost::asio::ip::tcp::endpoint;
 using UdpEndpoint = boost::asio::ip::udp::endpoint;
@@ -63,7 +67,8 @@
 
 std::uint64_t as_megabytes(const JsonValue& value, const std::string& path) {
   const double megabytes = as_double(value, path);
-  if (!(megabytes > 0 && megabytes < 1e9)) throw_field_error(path, "must be above 0");
+  if (!(megabytes > 0 && megabytes < 1e9))
+    throw_field_error(path, "must be above 0 and below 1e9 (megabytes)");
   return static_cast<std::uint64_t>(megabytes * kBytesPerMegabyte);
 }
 
@@ -71,52 +76,52 @@
   const std::string text = as_string(value, path);
   std::uint64_t seed = 0;
   const char* text_end = text.data() + text.size();
-  const auto [end, error] = std::from_chars(text.data(), text_end, seed, kHexadecimal);
-  if (error != std::errc() || end != text_end) throw_field_error(path, "must be 64 bits in hexadecimal");
+  const auto [end, error] = std::from_chars(text.data(), text_end, seed, kHexadecimalBase);
+  if (error != std::errc() || end != text_end) throw_field_error(path, "must be a 64-bit hexadecimal number");
   return seed;
 }
 
-// Shares the descriptors out among clients, endpoints and operators.
-void share_out_descriptors(std::size_t descriptors, Config& config) {
-  std::size_t others = kOtherDescriptors;
-  if (config.operators) {
+// Divides the descriptors among connections of clients, to endpoints and of operators.
+void allocate_descriptors(std::size_t descriptors, Config& config) {
+  std::size_t reserved = kReservedDescriptors;
+  if (config.operator_address) {
     config.operator_connections = std::min(descriptors / kDescriptorsPerOperator, kMaxOperatorConnections);
-    others += config.operator_connections + 1;
+    reserved += config.operator_connections + 1;
   }
-  config.client_connections = (descriptors - others) / 2;
-  config.endpoint_connections = descriptors - others - config.client_connections;
+  config.client_connections = (descriptors - reserved) / 2;
+  config.endpoint_connections = descriptors - reserved - config.client_connections;
 }
 
 void read_limits(const JsonValue& root, Config& config) {
   const std::string path = kRoot + ".limits";
   const JsonValue& limits = as_object(required_member(root, "limits", kRoot), path);
   const int descriptors = read_member(limits, "sockets", path, as_int);
-  if (descriptors < kMinDescriptors) throw_field_error(path + ".sockets", "must be 64 or more");
-  config.operators = read_optional(root, "operator", as_tcp_endpoint);
-  share_out_descriptors(static_cast<std::size_t>(descriptors), config);
+  if (descriptors < kMinDescriptors) throw_field_error(path + ".sockets", "must be at least 64");
+  config.operator_address = read_optional(root, "operator", as_tcp_endpoint);
+  allocate_descriptors(static_cast<std::size_t>(descriptors), config);
   config.memory_bytes = read_member(limits, "memory_mb", path, as_megabytes);
   config.disk_bytes = read_member(limits, "disk_mb", path, as_megabytes);
 }
 
 void read_gossip(const JsonValue& root, Config& config) {
-  config.peer_listen = read_optional(root, "peer_listen", as_udp_endpoint);
-  config.peers_all = read_optional(root, "peers_all", as_udp_endpoint);
+  config.peer_listen_address = read_optional(root, "peer_listen", as_udp_endpoint);
+  config.peer_broadcast_address = read_optional(root, "peers_all", as_udp_endpoint);
   const JsonValue* peers = find_member(root, "peers");
   if (peers == nullptr) return;
   const std::string path = kRoot + ".peers";
   for (const JsonValue& peer : as_array(*peers, path).GetArray())
-    config.peers.push_back(as_udp_endpoint(peer, path));
+    config.peer_addresses.push_back(as_udp_endpoint(peer, path));
 }
 
-// The dispatcher's settings, fitted to what this relay has: sockets and descriptors.
+// Reads the dispatcher's settings and adapts them to a relay that works on sockets with limited descriptors.
 void read_dispatcher_settings(const JsonValue& root, Config& config) {
   const std::string path = kRoot + ".settings";
   const JsonValue& value = required_member(root, "settings", kRoot);
   dispatch::Settings& settings = config.settings;
   settings = read_settings(value, path, config.setting_names);
   dispatch::validate(settings);
-  // On sockets nothing comes unasked: also where the settings say that changes of the list do, they come by a
-  // watch, which is to be opened, and opened again once it ends.
+  // Over sockets nothing arrives without a request. Even where the settings say that changes of the list are
+  // pushed, they come over a watch, which the relay has to open, and to reopen whenever it ends.
   settings.list_is_pushed = !settings.subscribes_to_list;
   settings.subscribes_to_list = true;
   // Each call in flight needs a descriptor.
@@ -139,8 +144,8 @@
   const rapidjson::Document root = parse_json(json);
   Config config;
   config.name = read_member(root, "name", kRoot, as_string);
-  config.listen = read_member(root, "listen", kRoot, as_tcp_endpoint);
-  config.discovery = read_member(root, "discovery", kRoot, as_tcp_endpoint);
+  config.listen_address = read_member(root, "listen", kRoot, as_tcp_endpoint);
+  config.discovery_address = read_member(root, "discovery", kRoot, as_tcp_endpoint);
   config.seed = read_member(root, "seed", kRoot, as_seed);
   read_limits(root, config);
   read_gossip(root, config);
@@ -151,9 +156,9 @@
 }
 
 Config load_config() {
-  const std::string file = environment_variable("LB_CONFIG");
-  std::ifstream in(file, std::ios::binary);
-  if (!in) throw std::runtime_error("LB_CONFIG: can't read " + file);
+  const std::string path = environment_variable("LB_CONFIG");
+  std::ifstream in(path, std::ios::binary);
+  if (!in) throw std::runtime_error("LB_CONFIG: can't read " + path);
   Config config = read_config({std::istreambuf_iterator<char>(in), {}});
   config.state_folder = environment_variable("LB_STATE");
   return config;
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -1,8 +1,9 @@
-// message_relay: one relay on real sockets.
+// message_relay: the program that runs one relay.
 //
-// LB_CONFIG names its configuration, LB_STATE the folder that keeps its state. SIGTERM and SIGINT shut it
-// down gracefully, SIGHUP has the configuration reloaded. Started next to one that runs on the same folder,
-// it takes over from it. The exit status is 0 after a shutdown or a handover, 1 where it can't start.
+// The environment variable LB_CONFIG names the configuration file, LB_STATE the folder that holds the relay's
+// state. SIGTERM and SIGINT shut the relay down gracefully, SIGHUP reloads the configuration. A relay that is
+// started while another one runs on the same folder takes over from it. The exit status is 0 after a shutdown
+// or a handover and 1 if the relay can't start.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -21,7 +22,7 @@
 using boost::system::error_code;
 using message_relay::Relay;
 
-// A file that can't be read changes nothing.
+// Keeps the present configuration if the new one can't be read.
 void reload_configuration(Relay& relay) {
   try {
     relay.reconfigure(message_relay::load_config());
@@ -31,16 +32,16 @@
 }
 
 void reload_on_signal(signal_set& signals, Relay& relay) {
-  signals.async_wait([&signals, &relay](error_code bad, int) {
-    if (bad) return;
+  signals.async_wait([&signals, &relay](error_code error, int) {
+    if (error) return;
     reload_configuration(relay);
     reload_on_signal(signals, relay);
   });
 }
 
 void stop_on_signal(signal_set& signals, Relay& relay, boost::asio::io_context& io) {
-  signals.async_wait([&relay, &io](error_code bad, int) {
-    if (!bad) relay.stop([&io] { io.stop(); });
+  signals.async_wait([&relay, &io](error_code error, int) {
+    if (!error) relay.stop([&io] { io.stop(); });
   });
 }
 
@@ -48,9 +49,11 @@
   std::signal(SIGPIPE, SIG_IGN);
   boost::asio::io_context io(1);
   const message_relay::Config config = message_relay::load_config();
-  // While another process still owns the folder, a signal ends this one, which owes nothing yet.
+  // No signal handlers are installed yet: while another process owns the folder, a signal ends this process
+  // at once. That is safe, since it has not accepted any messages.
   message_relay::StartupOwnership ownership = message_relay::acquire_ownership(config.state_folder);
-  // Before anything slow: a signal that comes while the journal is read waits for the event loop.
+  // The handlers are installed before the journal is read, which can take long. A signal that arrives
+  // meanwhile is handled once the event loop runs.
   signal_set stop_signals(io, SIGTERM, SIGINT);
   signal_set reload_signals(io, SIGHUP);
   Relay relay(io, config, std::move(ownership));
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -69,7 +69,7 @@
       delivery_(io, delivery_limits(config),
                 [this](const event::AttemptEnded& ended) { on_attempt_ended(ended); }),
       platform_(
-          io, config.discovery, config.setting_names, platform_timeouts(config.settings),
+          io, config.discovery_address, config.setting_names, platform_timeouts(config.settings),
           cached_list(config, ownership_).version,
           [this](const EndpointList& list) { on_endpoint_list(list); },
           [this](event::SubscriptionLossReason reason) {
@@ -96,9 +96,9 @@
                       .delivery = delivery_,
                       .platform = platform_,
                       .gossip = gossip_}) {
-  if (config.settings.gossip && config.peer_listen)
-    gossip_.emplace(io, *config.peer_listen, config.peers, config.peers_all, config.settings.relay_index,
-                    [this](int sender, std::string payload) {
+  if (config.settings.gossip && config.peer_listen_address)
+    gossip_.emplace(io, *config.peer_listen_address, config.peer_addresses, config.peer_broadcast_address,
+                    config.settings.relay_index, [this](int sender, std::string payload) {
                       events_.add(event::GossipReceived{sender, std::move(payload)});
                     });
   load_cached_list(cached_list(config, ownership_));
@@ -169,8 +169,8 @@
 }
 
 tcp::acceptor Relay::client_acceptor() const {
-  if (!ownership_.inherited) return {io_, config_.listen};
-  return {io_, config_.listen.protocol(), ownership_.inherited->listener};
+  if (!ownership_.inherited) return {io_, config_.listen_address};
+  return {io_, config_.listen_address.protocol(), ownership_.inherited->listener};
 }
 
 void Relay::adopt_inherited_clients() {
@@ -202,7 +202,7 @@
 }
 
 void Relay::listen_for_operators() {
-  if (!config_.operators) return;
+  if (!config_.operator_address) return;
   operator_commands_.emplace(OperatorCommands::Collaborators{.readiness = readiness_,
                                                              .journal = journal_,
                                                              .events = events_,
@@ -213,7 +213,7 @@
                                                              .ingress = *ingress_,
                                                              .dispatcher = dispatcher_,
                                                              .metrics = metrics_});
-  operators_.emplace(io_, *config_.operators, config_.operator_connections,
+  operators_.emplace(io_, *config_.operator_address, config_.operator_connections,
                      [this](const OperatorCommand& command) { return operator_commands_->run(command); });
 }
 
@@ -267,8 +267,8 @@
 
 // ---- Changes while it runs. ----
 void Relay::reconfigure(const Config& config) {
-  log("configuration reloaded: discovery at " + format_address(config.discovery));
-  platform_.relocate(config.discovery);
+  log("configuration reloaded: discovery at " + format_address(config.discovery_address));
+  platform_.relocate(config.discovery_address);
 }
 
 void Relay::stop(std::function<void()> done) { shutdown_->begin(std::move(done)); }
