--- a/relay/handover_state.cpp
+++ b/relay/handover_state.cpp
@@ -68,14 +68,14 @@
 }
 
 // Writes an outcome after the flag even where there is none, so that the field has a fixed size.
-void write_given_up(BinaryWriter& out, const std::optional<Outcome>& given_up) {
-  out.number(given_up.has_value()).number(given_up.value_or(Outcome::timeout));
+void write_provisional_outcome(BinaryWriter& out, const std::optional<Outcome>& provisional_outcome) {
+  out.number(provisional_outcome.has_value()).number(provisional_outcome.value_or(Outcome::timeout));
 }
 
-std::optional<Outcome> read_given_up(BinaryReader& in) {
-  const bool given_up = in.number<bool>();
+std::optional<Outcome> read_provisional_outcome(BinaryReader& in) {
+  const bool has_outcome = in.number<bool>();
   const auto outcome = in.number<Outcome>();
-  return given_up ? std::optional(outcome) : std::nullopt;
+  return has_outcome ? std::optional(outcome) : std::nullopt;
 }
 
 }  // namespace
@@ -145,7 +145,7 @@
   write_count(record, call.messages);
   for (std::size_t i = 0; i < call.messages.size(); i++) {
     write_message(record, call.messages[i]);
-    write_given_up(record, call.provisional_outcomes[i]);
+    write_provisional_outcome(record, call.provisional_outcomes[i]);
   }
   return record.payload();
 }
@@ -159,7 +159,7 @@
   call.response_bytes = in.text();
   read_list(in, [&] {
     call.messages.push_back(read_message(in));
-    call.provisional_outcomes.push_back(read_given_up(in));
+    call.provisional_outcomes.push_back(read_provisional_outcome(in));
   });
   return call;
 }
