--- a/relay/operator_commands.cpp
+++ b/relay/operator_commands.cpp
@@ -40,7 +40,7 @@
     case OperatorVerb::resume:
       return resume();
   }
-  return error_reply("unknown command");
+  return error_reply("unknown call");
 }
 
 std::string OperatorCommands::status() const {
--- a/relay/operator_server.cpp
+++ b/relay/operator_server.cpp
@@ -44,8 +44,9 @@
     {"RESUME", OperatorVerb::resume, Argument::none},
 }};
 
+// Operators' tools parse the replies, so their texts must not change.
 constexpr const char* kUnknownVerb =
-    "unknown command; expected STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE or RESUME";
+    "unknown call; there are STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE and RESUME";
 
 bool is_single_word(const std::string& text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < '\x7f'; });
@@ -66,11 +67,11 @@
   const std::string argument = has_argument ? line.substr(space + 1) : "";
   std::string problem;
   if (syntax->argument == Argument::none) {
-    if (has_argument) problem = name + " takes no argument";
+    if (has_argument) problem = name + " takes nothing behind it";
   } else if (argument.empty()) {
-    problem = name + " needs the id of an endpoint as its argument";
+    problem = name + " needs the id of an endpoint";
   } else if (!is_single_word(argument)) {
-    problem = name + " takes one id, without spaces or control characters";
+    problem = name + " takes one id";
   }
   return {{syntax->verb, argument}, problem};
 }
@@ -111,10 +112,10 @@
   // `size` is the length of the line in bytes, including the line feed.
   void on_line(error_code error, std::size_t size) {
     if (error == net::error::not_found) {
-      reply(error_reply("command line longer than " + std::to_string(kMaxLineBytes) + " bytes"));
+      reply(error_reply("a call has " + std::to_string(kMaxLineBytes) + " bytes at most"));
     } else if (error == net::error::eof) {
       // An incomplete line is not executed: the end of an endpoint's id may be missing.
-      reply(error_reply("command line incomplete: no line feed at its end"));
+      reply(error_reply("a call is one whole line, with its end"));
     } else if (error) {
       close();
     } else {
