--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -1133,8 +1133,8 @@
 }
 
 // Without a pushed list, a relay is expected to know a change 6 s after discovery has it, even if the change
-// did not arrive, and after a silence no sooner than that. The polls of a fleet of any size must not be
-// spread over a longer time.
+// did not arrive. A change that a silent subscription missed counts as known 6 s after the silence began at
+// the earliest. The polls of a fleet of any size must not be spread over a longer time.
 TEST(PolledList, IsPolledBeforeTheRelayIsExpectedToKnowAChange) {
   auto settings = pushed_list_settings();
   settings.list_is_pushed = false;
