--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -181,7 +181,8 @@
     relay.run_round(ended);
   }
   EXPECT_GE(calls, 100U);
-  EXPECT_GE(messages, 7 * calls);  // halving on a failure and growing by one gave 4.5
+  // Halving the batch size on isolated failures too, and raising it by one on successes, gave a mean of 4.5.
+  EXPECT_GE(messages, 7 * calls);
 }
 TEST(Batching, BatchesShrinkWhenAllCallsFail) {
   auto settings = test_settings();
@@ -209,7 +210,7 @@
   relay.run_round(ended);
   ASSERT_EQ(relay.failed_at.size(), 8U);
   submit_burst();
-  // The endpoint is in doubt and gets at most two calls, of four messages each.
+  // After the failures the endpoint is suspect and gets at most two calls, of four messages each.
   std::size_t sent_at_once = 0;
   for (const auto& attempt : relay.in_flight) sent_at_once += attempt.sent_at == relay.now;
   EXPECT_EQ(sent_at_once, 8U);
