--- a/scale/endpoint_catalogue.cpp
+++ b/scale/endpoint_catalogue.cpp
@@ -5,11 +5,11 @@
 namespace scale_tool {
 namespace {
 
-// Multiplication by an odd number, modulo 2^32, is one to one.
+// Multiplication by an odd number modulo 2^32 is one-to-one, so that different endpoints get different names.
 constexpr std::uint32_t kOddFactor = 2'654'435'761;
 
-// In 10.0.0.0/8.
-std::string own_address(std::int64_t endpoint) {
+// Returns an address in 10.0.0.0/8, which has room for numbers below 2^24.
+std::string unique_address(std::int64_t endpoint) {
   return "10." + std::to_string(endpoint >> 16) + "." + std::to_string((endpoint >> 8) & 255) + "." +
          std::to_string(endpoint & 255) + ":8081";
 }
@@ -44,7 +44,7 @@
   for (std::int64_t endpoint = 0; endpoint < endpoints; endpoint++) {
     if (endpoint > 0) entries += ',';
     entries += list_entry(endpoint, destination_of(endpoint, endpoints_per_destination),
-                          address.empty() ? own_address(endpoint) : address);
+                          address.empty() ? unique_address(endpoint) : address);
   }
   return endpoint_list(entries, version, ListForm::snapshot);
 }
--- a/scale/endpoint_catalogue.hpp
+++ b/scale/endpoint_catalogue.hpp
@@ -1,4 +1,4 @@
-// The endpoint list of discovery, in the JSON that the relay reads.
+// Writes endpoint lists in the JSON format in which discovery sends them to the relay.
 #pragma once
 
 #include <cstdint>
@@ -6,21 +6,23 @@
 
 namespace scale_tool {
 
-// The version of a list that is given first; the versions of updates count on from it.
+// The version of the first list that is sent. Each update has the next higher version.
 constexpr std::int64_t kFirstListVersion = 41;
 
 enum class ListForm { snapshot, update };
 
-// A name like "s-5be2a07c": another one for each number below 2^32, in no order.
+// Returns a name like "s-5be2a07c". Names differ for all numbers below 2^32 and do not sort like the numbers.
 [[nodiscard]] std::string endpoint_name(std::int64_t number);
-// The destination of an endpoint, where this many endpoints of each are listed in the mean.
+// Returns the destination of an endpoint in a list with a mean of `endpoints_per_destination`, which may be a
+// fraction.
 [[nodiscard]] std::int64_t destination_of(std::int64_t endpoint, double endpoints_per_destination);
-// The entry of one endpoint. The status is "ready" or "draining".
+// Returns the list entry of one endpoint. `status` is "ready" or "draining".
 [[nodiscard]] std::string list_entry(std::int64_t endpoint, std::int64_t destination,
                                      const std::string& address, const std::string& status = "ready");
-// A list of entries that are joined by commas.
+// Returns a list of the given entries, which must be separated by commas.
 [[nodiscard]] std::string endpoint_list(const std::string& entries, std::int64_t version, ListForm form);
-// A snapshot of so many endpoints, all ready: at this address or, where it is empty, each at one of its own.
+// Returns a snapshot of `endpoints` endpoints, all with the status "ready". Each has the given address or, if
+// that is empty, an address of its own.
 [[nodiscard]] std::string list_snapshot(std::int64_t endpoints, double endpoints_per_destination,
                                         const std::string& address = "",
                                         std::int64_t version = kFirstListVersion);
--- a/scale/sample_message.hpp
+++ b/scale/sample_message.hpp
@@ -1,4 +1,4 @@
-// Messages as the journal holds them, for measurements.
+// Creates sample messages for measurements of the journal and the relay.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 namespace scale_tool {
 
 inline const std::string kMessageClass = "pay-and-order";
-// A size limit that no journal reaches, in bytes.
+// A size limit for journals that no measurement reaches, in bytes.
 constexpr std::uint64_t kUnlimitedBytes = 1'000'000'000'000;
-// So large that the identifiers of all samples have the same length.
+// Large enough that the identifiers of all sample messages have the same number of digits.
 constexpr std::uint64_t kFirstSampleId = 1'000'000'000'000'000;
 constexpr std::int64_t kSampleTimeToDeadline = 3'600'000'000;  // microseconds
 
-// A message that may be delivered for an hour from now on.
+// Returns a message whose deadline is one hour from now and whose body has the given size.
 inline message_relay::Message sample_message(message_relay::MessageId id, std::int64_t destination,
                                              std::int64_t body_bytes) {
   message_relay::Message message;
--- a/scale/units.hpp
+++ b/scale/units.hpp
@@ -1,4 +1,4 @@
-// Conversions of units.
+// Conversion factors between units of time.
 #pragma once
 
 namespace scale_tool {
