--- a/scale/experiment.cpp
+++ b/scale/experiment.cpp
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-Experiment::Experiment(const std::string& path, const std::string& table) : path_(path), table_name_(table) {
+ExperimentTable::ExperimentTable(const std::string& path, const std::string& table)
+    : path_(path), table_name_(table) {
   if (path.empty()) return;
   try {
     file_ = toml::parse_file(path);
@@ -33,75 +34,76 @@
   const toml::node* node = file_.get(table);
   if (node == nullptr) return;
   table_ = node->as_table();
-  if (table_ == nullptr) fail(*node, "", "must be a table");
+  if (table_ == nullptr) throw_error(*node, "", "must be a table");
 }
 
-const toml::node* Experiment::find(const std::string& key) {
-  known_keys_.insert(key);
+const toml::node* ExperimentTable::find(const std::string& key) {
+  requested_keys_.insert(key);
   return table_ == nullptr ? nullptr : table_->get(key);
 }
 
-void Experiment::fail(const toml::node& node, const std::string& key, const std::string& problem) const {
+void ExperimentTable::throw_error(const toml::node& node, const std::string& key,
+                                  const std::string& problem) const {
   const std::string name = key.empty() ? table_name_ : table_name_ + "." + key;
   throw BadInput(path_ + ":" + std::to_string(node.source().begin.line) + ": " + name + ": " + problem);
 }
 
-void Experiment::reject(const std::string& key, const std::string& problem) const {
+void ExperimentTable::throw_invalid(const std::string& key, const std::string& problem) const {
   const toml::node* node = table_ == nullptr ? nullptr : table_->get(key);
   if (node == nullptr) throw BadInput(table_name_ + "." + key + ": " + problem);
-  fail(*node, key, problem);
+  throw_error(*node, key, problem);
 }
 
-void Experiment::read(const std::string& key, double& value, double min, double max) {
+void ExperimentTable::read(const std::string& key, double& value, double min, double max) {
   const toml::node* node = find(key);
   if (node == nullptr) return;
   const std::optional<double> number = node->value<double>();
-  const bool is_in_range = number && *number >= min && *number <= max;  // false for NaN
-  if (!is_in_range) fail(*node, key, range_problem(min, max));
+  const bool is_in_range = number && *number >= min && *number <= max;  // false for NaN too
+  if (!is_in_range) throw_error(*node, key, range_problem(min, max));
   value = *number;
 }
 
-void Experiment::read(const std::string& key, int& value, int min, int max) {
+void ExperimentTable::read(const std::string& key, int& value, int min, int max) {
   std::int64_t number = value;
   read(key, number, std::int64_t{min}, std::int64_t{max});
   value = static_cast<int>(number);
 }
 
-void Experiment::read(const std::string& key, std::int64_t& value, std::int64_t min, std::int64_t max) {
+void ExperimentTable::read(const std::string& key, std::int64_t& value, std::int64_t min, std::int64_t max) {
   const toml::node* node = find(key);
   if (node == nullptr) return;
   const auto number = integer_between(*node, min, max);
-  if (!number) fail(*node, key, "a whole number, " + range_problem(min, max));
+  if (!number) throw_error(*node, key, "a whole number, " + range_problem(min, max));
   value = *number;
 }
 
-void Experiment::read(const std::string& key, std::vector<std::int64_t>& values, std::int64_t min,
-                      std::int64_t max) {
+void ExperimentTable::read(const std::string& key, std::vector<std::int64_t>& values, std::int64_t min,
+                           std::int64_t max) {
   const toml::node* node = find(key);
   if (node == nullptr) return;
   const toml::array* list = node->as_array();
-  if (list == nullptr || list->empty()) fail(*node, key, "must be a list of whole numbers");
+  if (list == nullptr || list->empty()) throw_error(*node, key, "must be a list of whole numbers");
   values.clear();
   for (const toml::node& element : *list) {
     const auto number = integer_between(element, min, max);
-    if (!number) fail(element, key, "whole numbers, each " + range_problem(min, max));
+    if (!number) throw_error(element, key, "whole numbers, each " + range_problem(min, max));
     values.push_back(*number);
   }
 }
 
-void Experiment::read(const std::string& key, bool& value) {
+void ExperimentTable::read(const std::string& key, bool& value) {
   const toml::node* node = find(key);
   if (node == nullptr) return;
   const std::optional<bool> flag = node->value_exact<bool>();
-  if (!flag) fail(*node, key, "must be true or false");
+  if (!flag) throw_error(*node, key, "must be true or false");
   value = *flag;
 }
 
-void Experiment::finish() const {
+void ExperimentTable::check_all_keys_read() const {
   if (table_ == nullptr) return;
   for (const auto& [key, node] : *table_) {
     const std::string name(key.str());
-    if (!known_keys_.contains(name)) fail(node, name, "unknown");
+    if (!requested_keys_.contains(name)) throw_error(node, name, "unknown key");
   }
 }
 
--- a/scale/experiment.hpp
+++ b/scale/experiment.hpp
@@ -1,4 +1,5 @@
-// An experiment file: TOML with one table for each subcommand. A key that it leaves out keeps its default.
+// Reads an experiment file: TOML with one table for each subcommand. A key that is left out keeps its
+// default.
 #pragma once
 
 #include <toml++/toml.h>
@@ -11,43 +12,47 @@
 
 namespace scale_tool {
 
-// An argument or a file that makes no sense. The message names it, in a file with the line and the key.
+// Thrown for an invalid argument or file. The message names the argument, or the file with the line and the
+// key.
 struct BadInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// One table of a file.
-// Invariant: `table_` points into `file_`, or is null where there is no such table; `known_keys_` are those
-// that something has tried to read.
-class Experiment {
+// One table of an experiment file.
+// Invariant: `table_` points into `file_`, or is null if the file has no such table; `requested_keys_` holds
+// the keys that read() has been called for, whether or not the table has them.
+class ExperimentTable {
  public:
-  // An empty path is a file without tables. Throws BadInput where the file can't be read or parsed.
-  Experiment(const std::string& path, const std::string& table);
-  ~Experiment() = default;
-  Experiment(const Experiment&) = delete;
-  Experiment& operator=(const Experiment&) = delete;
-
-  // Each reads its key into `value`, if it is there. Throws BadInput for a value of another type or outside
-  // [min, max].
+  // An empty path stands for a file without tables. Throws BadInput if the file can't be read or parsed, or
+  // if `table` is not a table in it.
+  ExperimentTable(const std::string& path, const std::string& table);
+  ~ExperimentTable() = default;
+  ExperimentTable(const ExperimentTable&) = delete;
+  ExperimentTable& operator=(const ExperimentTable&) = delete;
+
+  // Each stores the value of the key, or leaves the argument unchanged if the table doesn't have the key.
+  // Throws BadInput for a value of another type or outside [min, max].
   void read(const std::string& key, double& value, double min, double max);
   void read(const std::string& key, int& value, int min, int max);
   void read(const std::string& key, std::int64_t& value, std::int64_t min, std::int64_t max);
   void read(const std::string& key, std::vector<std::int64_t>& values, std::int64_t min, std::int64_t max);
   void read(const std::string& key, bool& value);
-  // Throws BadInput for a key whose value is wrong by more than its type and range.
-  [[noreturn]] void reject(const std::string& key, const std::string& problem) const;
-  // Throws BadInput for a key that nothing has read: a misspelt one would silently keep its default.
-  void finish() const;
+  // Throws BadInput for a value that is invalid for a reason other than its type and range.
+  [[noreturn]] void throw_invalid(const std::string& key, const std::string& problem) const;
+  // Throws BadInput if the table has a key that was not read. Guards against a misspelt key, whose setting
+  // would silently keep its default.
+  void check_all_keys_read() const;
 
  private:
   const toml::node* find(const std::string& key);
-  [[noreturn]] void fail(const toml::node& node, const std::string& key, const std::string& problem) const;
+  [[noreturn]] void throw_error(const toml::node& node, const std::string& key,
+                                const std::string& problem) const;
 
   std::string path_;
   std::string table_name_;
   toml::table file_;
   const toml::table* table_ = nullptr;
-  std::set<std::string> known_keys_;
+  std::set<std::string> requested_keys_;
 };
 
 }  // namespace scale_tool
--- a/scale/fleet_command.cpp
+++ b/scale/fleet_command.cpp
@@ -1,4 +1,5 @@
-// `scale_tool fleet`: its arguments, and one simulation for each number of relays and each seed.
+// The subcommand `scale_tool fleet`: parses its arguments and runs one simulation for each number of relays
+// and each seed.
 #include <cstddef>
 #include <exception>
 #include <iostream>
@@ -32,7 +33,7 @@
   std::int64_t seed = 0;
 };
 
-// 0 of nothing.
+// Returns 0 if `all` is 0.
 double fraction(double part, double all) { return all > 0 ? part / all : 0; }
 double fraction(std::int64_t part, std::int64_t all) {
   return fraction(static_cast<double>(part), static_cast<double>(all));
@@ -68,41 +69,43 @@
   return tasks;
 }
 
-// Runs the simulations of an experiment on several threads. They are independent of each other; a row is
-// added to the report once all before it are there, so that the order does not depend on the threads.
+// Runs the simulations of an experiment, which are independent of each other, on several threads. A row is
+// added to the report only after all rows before it, so that the order of the rows does not depend on the
+// threads.
 class FleetRunner {
  public:
-  // Both must outlive this.
+  // Both must outlive this object.
   FleetRunner(const FleetExperiment& experiment, Report& report)
       : settings_(experiment.settings), tasks_(make_tasks(experiment)), report_(report) {}
 
-  // Returns when all have ended. Throws what a simulation threw; no further one is started then.
+  // Returns when all simulations have ended. Once a simulation throws, no further one is started, and its
+  // exception is rethrown after the running ones have ended.
   void run(int jobs);
 
  private:
-  void work();
+  void run_tasks();
   FleetResult simulate(std::size_t task);
   void add_rows();
 
   const FleetSettings& settings_;
   const std::vector<Task> tasks_;
   Report& report_;
-  std::mutex mutex_;  // guards all below, the report and the progress line
+  std::mutex mutex_;  // guards the members below, the report and the progress line
   std::size_t next_task_ = 0;
-  std::map<std::size_t, FleetResult> results_;  // by task
+  std::map<std::size_t, FleetResult> results_;  // by index of the task
   std::exception_ptr error_;
 };
 
 void FleetRunner::run(int jobs) {
   std::vector<std::thread> threads;
-  for (int i = 1; i < jobs; i++) threads.emplace_back([this] { work(); });
-  work();
+  for (int i = 1; i < jobs; i++) threads.emplace_back([this] { run_tasks(); });
+  run_tasks();
   for (auto& thread : threads) thread.join();
   progress("");
   if (error_) std::rethrow_exception(error_);
 }
 
-void FleetRunner::work() {
+void FleetRunner::run_tasks() {
   std::unique_lock lock(mutex_);
   while (next_task_ < tasks_.size() && !error_) {
     const std::size_t task = next_task_++;
@@ -125,12 +128,12 @@
   FleetSettings settings = settings_;
   settings.relay_count = static_cast<int>(tasks_[task].relay_count);
   settings.seed = static_cast<std::uint64_t>(tasks_[task].seed);
-  const std::string name = "run " + std::to_string(task + 1) + " of " + std::to_string(tasks_.size()) + ", " +
-                           std::to_string(settings.relay_count) + " relays, seed " +
-                           std::to_string(settings.seed) + ": ";
+  const std::string progress_prefix =
+      "run " + std::to_string(task + 1) + " of " + std::to_string(tasks_.size()) + ", " +
+      std::to_string(settings.relay_count) + " relays, seed " + std::to_string(settings.seed) + ": ";
   return run_fleet(settings, [&](double second) {
     const std::lock_guard lock(mutex_);
-    progress(name + std::to_string(static_cast<int>(second)) + " s");
+    progress(progress_prefix + std::to_string(static_cast<int>(second)) + " s");
   });
 }
 
@@ -150,20 +153,24 @@
 
 }  // namespace
 
-void add_fleet(CLI::App& app) {
+void add_fleet_command(CLI::App& app) {
   const auto arguments = std::make_shared<Arguments>();
-  CLI::App* command = app.add_subcommand(
-      "fleet", "Many instances of the module in virtual time, against modelled destinations");
+  CLI::App* command =
+      app.add_subcommand("fleet", "Simulate a fleet of relays in virtual time against modelled destinations");
   command
       ->add_option("--experiment", arguments->experiment_file,
-                   "TOML file whose table [fleet] says what is played")
+                   "TOML file whose table [fleet] describes the simulations")
       ->check(CLI::ExistingFile);
-  command->add_option("--json", arguments->json_file, "file for the results, a JSON line each");
-  command->add_option("--relays", arguments->relay_counts, "how many relays, in place of the file's")
+  command->add_option("--json", arguments->json_file,
+                      "output file for the results, one JSON line for each simulation");
+  command
+      ->add_option("--relays", arguments->relay_counts,
+                   "numbers of relays, instead of those in the experiment file")
       ->check(CLI::Range(std::int64_t{1}, kMaxRelays));
-  command->add_option("--seeds", arguments->seeds, "seeds, in place of the file's")
+  command->add_option("--seeds", arguments->seeds, "seeds, instead of those in the experiment file")
       ->check(CLI::NonNegativeNumber);
-  command->add_option("--jobs", arguments->jobs, "runs side by side")->check(CLI::Range(1, kMaxJobs));
+  command->add_option("--jobs", arguments->jobs, "number of simulations to run in parallel")
+      ->check(CLI::Range(1, kMaxJobs));
   command->callback([arguments] { run(*arguments); });
 }
 
--- a/scale/fleet_experiment.cpp
+++ b/scale/fleet_experiment.cpp
@@ -12,22 +12,23 @@
 constexpr double kMaxPositive = 3'600;
 constexpr double kMaxNonNegative = 1e6;
 
-// A key of the file, which is an interface and keeps its name, and the setting that it stands for.
+// A key of the experiment file and the setting that it sets. The keys are a public interface, so they keep
+// their names when a setting is renamed.
 struct NumberKey {
   const char* key;
   double& value;
 };
 
-void read_counts(Experiment& file, FleetSettings& settings) {
-  file.read("destinations_per_relay", settings.destinations_per_relay, 1, kMaxDestinations);
-  file.read("most_destinations", settings.max_destinations, 1, kMaxDestinations);
-  file.read("zones", settings.network.zone_count, 1, 1'000);
-  file.read("slots", settings.relay.max_calls_in_flight, 1, 100'000);
-  file.read("open_max", settings.relay.max_open_messages, 1, 10'000'000);
-  file.read("attempts_max", settings.relay.max_attempts, 1, 1'000);
+void read_counts(ExperimentTable& table, FleetSettings& settings) {
+  table.read("destinations_per_relay", settings.destinations_per_relay, 1, kMaxDestinations);
+  table.read("most_destinations", settings.max_destinations, 1, kMaxDestinations);
+  table.read("zones", settings.network.zone_count, 1, 1'000);
+  table.read("slots", settings.relay.max_calls_in_flight, 1, 100'000);
+  table.read("open_max", settings.relay.max_open_messages, 1, 10'000'000);
+  table.read("attempts_max", settings.relay.max_attempts, 1, 1'000);
 }
 
-void read_fractions(Experiment& file, FleetSettings& settings) {
+void read_fractions(ExperimentTable& table, FleetSettings& settings) {
   WorkloadSettings& workload = settings.workload;
   DestinationSettings& destination = settings.destination;
   const NumberKey keys[] = {{"hot_part", workload.hot_fraction},
@@ -41,10 +42,10 @@
                             {"down_part", settings.faults.unavailable_fraction},
                             {"killed_part", settings.faults.killed_relay_fraction},
                             {"cold_from", destination.slow_start_capacity}};
-  for (const auto& [key, value] : keys) file.read(key, value, 0, 1);
+  for (const auto& [key, value] : keys) table.read(key, value, 0, 1);
 }
 
-void read_positive_numbers(Experiment& file, FleetSettings& settings) {
+void read_positive_numbers(ExperimentTable& table, FleetSettings& settings) {
   WorkloadSettings& workload = settings.workload;
   DestinationSettings& destination = settings.destination;
   const NumberKey keys[] = {{"length", settings.duration},
@@ -67,10 +68,10 @@
                             {"spare_least", destination.min_capacity_ratio},
                             {"spare_most", destination.max_capacity_ratio},
                             {"endpoints", destination.mean_endpoints}};
-  for (const auto& [key, value] : keys) file.read(key, value, kMinPositive, kMaxPositive);
+  for (const auto& [key, value] : keys) table.read(key, value, kMinPositive, kMaxPositive);
 }
 
-void read_non_negative_numbers(Experiment& file, FleetSettings& settings) {
+void read_non_negative_numbers(ExperimentTable& table, FleetSettings& settings) {
   WorkloadSettings& workload = settings.workload;
   NetworkSettings& network = settings.network;
   FaultSettings& faults = settings.faults;
@@ -88,21 +89,21 @@
                             {"killed_for", faults.restart_delay},
                             {"churn", faults.endpoint_replacement_rate},
                             {"uneven", workload.relay_skew}};
-  for (const auto& [key, value] : keys) file.read(key, value, 0, kMaxNonNegative);
+  for (const auto& [key, value] : keys) table.read(key, value, 0, kMaxNonNegative);
 }
 
 }  // namespace
 
 FleetExperiment read_fleet_experiment(const std::string& path) {
   FleetExperiment experiment;
-  Experiment file(path, "fleet");
-  file.read("relays", experiment.relay_counts, 1, kMaxRelays);
-  file.read("seeds", experiment.seeds, 0, INT64_MAX);
-  read_counts(file, experiment.settings);
-  read_fractions(file, experiment.settings);
-  read_positive_numbers(file, experiment.settings);
-  read_non_negative_numbers(file, experiment.settings);
-  file.finish();
+  ExperimentTable table(path, "fleet");
+  table.read("relays", experiment.relay_counts, 1, kMaxRelays);
+  table.read("seeds", experiment.seeds, 0, INT64_MAX);
+  read_counts(table, experiment.settings);
+  read_fractions(table, experiment.settings);
+  read_positive_numbers(table, experiment.settings);
+  read_non_negative_numbers(table, experiment.settings);
+  table.check_all_keys_read();
   try {
     validate(experiment.settings);
   } catch (const std::invalid_argument& error) {
--- a/scale/fleet_experiment.hpp
+++ b/scale/fleet_experiment.hpp
@@ -1,4 +1,4 @@
-// The table [fleet] of an experiment file.
+// Reads the table [fleet] of an experiment file.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,15 @@
 
 constexpr std::int64_t kMaxRelays = 10'000;
 
-// One simulation is run for each number of relays and each seed.
+// Describes the simulations to run: one for each number of relays and each seed.
 struct FleetExperiment {
   FleetSettings settings;
   std::vector<std::int64_t> relay_counts{30};
   std::vector<std::int64_t> seeds{1};
 };
 
-// An empty path gives the defaults. Throws BadInput naming the file, the line and the key.
+// Returns the defaults for an empty path. Throws BadInput for an invalid file; the message names the file and
+// the key, and also the line unless settings contradict each other.
 [[nodiscard]] FleetExperiment read_fleet_experiment(const std::string& path);
 
 }  // namespace scale_tool
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -1,4 +1,5 @@
-// scale_tool: what the dispatcher and the relay cost against size, and how a fleet of them fares.
+// The program scale_tool: measures how the costs of the dispatcher and the relay grow with size, and
+// simulates a fleet of relays.
 #include <CLI/CLI.hpp>
 #include <exception>
 #include <iostream>
@@ -8,7 +9,7 @@
 
 namespace {
 
-// Exit statuses beside 0.
+// Exit statuses other than 0.
 constexpr int kFailure = 1;
 constexpr int kBadInput = 2;
 
@@ -20,10 +21,10 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Scale tests of the relay and its decision module", "scale_tool"};
+  CLI::App app{"Scale tests of the relay and its dispatcher", "scale_tool"};
   app.require_subcommand(1);
-  scale_tool::add_fleet(app);
-  scale_tool::add_slopes(app);
+  scale_tool::add_fleet_command(app);
+  scale_tool::add_slopes_command(app);
   try {
     app.parse(argc, argv);
     return 0;
--- a/scale/slopes_command.cpp
+++ b/scale/slopes_command.cpp
@@ -45,9 +45,9 @@
 
 SlopesSettings read_settings(const Arguments& arguments) {
   SlopesSettings settings;
-  Experiment experiment(arguments.experiment_file, "slopes");
+  ExperimentTable experiment(arguments.experiment_file, "slopes");
   settings.read(experiment);
-  experiment.finish();
+  experiment.check_all_keys_read();
   settings.relay_program =
       arguments.relay_program.empty() ? relay_program_beside_this_one() : arguments.relay_program;
   if (arguments.selects("relay") && ::access(settings.relay_program.c_str(), X_OK) != 0)
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-void add_slopes(CLI::App& app) {
+void add_slopes_command(CLI::App& app) {
   const auto arguments = std::make_shared<Arguments>();
   CLI::App* command =
       app.add_subcommand("slopes", "The cost of each part against its size, with a line through it");
--- a/scale/slopes_settings.cpp
+++ b/scale/slopes_settings.cpp
@@ -18,11 +18,11 @@
 constexpr std::int64_t kMaxListBytes = std::int64_t{1} << 40;
 
 // Fewer than two sizes make no line.
-void read_sizes(Experiment& experiment, const std::string& key, Sizes& sizes) {
+void read_sizes(ExperimentTable& experiment, const std::string& key, Sizes& sizes) {
   experiment.read(key, sizes, 1, kMaxSize);
   std::sort(sizes.begin(), sizes.end());
   sizes.erase(std::unique(sizes.begin(), sizes.end()), sizes.end());
-  if (sizes.size() < 2) experiment.reject(key, "two different sizes are needed");
+  if (sizes.size() < 2) experiment.throw_invalid(key, "two different sizes are needed");
 }
 
 }  // namespace
@@ -49,7 +49,7 @@
   throw std::logic_error("to_string: not a SizeKind");
 }
 
-void SlopesSettings::read(Experiment& experiment) {
+void SlopesSettings::read(ExperimentTable& experiment) {
   experiment.read("repetitions", repetitions, 1, kMaxRepetitions);
   experiment.read("endpoints_per_destination", endpoints_per_destination, 1, kMaxEndpointsPerDestination);
   experiment.read("body_bytes", body_bytes, 0, kMaxBodyBytes);
--- a/scale/slopes_settings.hpp
+++ b/scale/slopes_settings.hpp
@@ -54,7 +54,7 @@
   std::int64_t max_list_bytes = 4 << 20;  // kMaxListBytes of relay/discovery_client.cpp
 
   // Throws BadInput naming the file, the line and the key.
-  void read(Experiment& experiment);
+  void read(ExperimentTable& experiment);
   // The size that a relay must bear; 0 where it is not known.
   [[nodiscard]] double target(SizeKind kind) const;
 };
