--- a/scale/fleet.cpp
+++ b/scale/fleet.cpp
@@ -27,24 +27,25 @@
 
 using dispatch::Outcome;
 
-// An endpoint that is replaced is listed as draining for this time before it is removed from the list.
+// The time for which a replaced endpoint is listed as draining before it is removed from the list, in
+// microseconds.
 constexpr Time kDrainingTime = 2'000'000;
-constexpr Time kOverrunMeasurementInterval = 50'000;
+constexpr Time kOverrunMeasurementInterval = 50'000;  // microseconds
 
-constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15;  // of 2^64
+constexpr std::uint64_t kGoldenRatioMultiplier = 0x9e3779b97f4a7c15;  // 2^64 divided by the golden ratio
 
-// Neighbouring seeds must not give similar engines.
-std::uint64_t engine_seed(std::uint64_t seed) { return seed * kGoldenRatio + 1; }
+// Spreads the seeds over 64 bits, so that consecutive seeds do not give random engines with similar states.
+std::uint64_t engine_seed(std::uint64_t seed) { return seed * kGoldenRatioMultiplier + 1; }
 
-// Joins the relays, the destinations and the network between them: carries out the actions of the dispatchers
-// and the events of the queue.
-// Invariant: `now_` is the time of the event that is carried out and never goes back; `running_relays_` are
-// the indices of the relays that are up.
+// Connects the relays and the destinations over a simulated network: processes the events of the queue and
+// executes the actions of the dispatchers.
+// Invariant: `now_` is the time of the event that is being processed and never decreases; `running_relays_`
+// holds the indices of the relays that are up.
 class Fleet {
  public:
-  // Builds everything and starts the relays. `progress` must outlive this.
+  // Creates the destinations and the relays and starts the relays. `progress` must outlive this object.
   Fleet(const FleetSettings& settings, const std::function<void(double)>& progress);
-  // Carries out all events. May be called once.
+  // Processes all events and returns the results. May be called only once.
   [[nodiscard]] FleetResult run();
 
  private:
@@ -61,7 +62,7 @@
   void handle(const CallAbort& abort);
   void handle(const OutageStart&);
   void handle(const ListChange&);
-  void handle(const ListUpdate& update);
+  void handle(const ListUpdateArrival& update);
   void handle(const RelayKill&);
   void handle(const RelayStart& start);
   void handle(const OverrunMeasurement&);
@@ -71,7 +72,8 @@
   void execute(RelayIndex relay, const dispatch::action::Fail& fail);
   void execute(RelayIndex relay, const dispatch::action::SetTimer& timer);
   void execute(RelayIndex relay, const dispatch::action::Cancel& cancel);
-  // The others belong to features that the settings leave off, or are of no effect here.
+  // The remaining actions belong to features that the settings leave off, or have no effect in the
+  // simulation.
   template <class OtherAction>
   void execute(RelayIndex, const OtherAction&) {}
 
@@ -82,17 +84,17 @@
   void end_call(CallNumber number, const CallReply& reply);
   void notify_of_outage(const Call& call);
   void record_outcome(const Call& call, Outcome outcome);
-  void end_message(RelayIndex relay, dispatch::MessageId id, MessageEnd end);
+  void end_message(RelayIndex relay, dispatch::MessageId id, MessageResult result);
   void announce_replacement(const EndpointReplacement& replacement);
 
   Destination& destination_of(EndpointIndex endpoint) {
     return destinations_.at(endpoints_.at(endpoint).destination);
   }
-  // One way between the relay and the endpoint.
+  // The one-way delay between the relay and the endpoint.
   Time network_delay(RelayIndex relay, EndpointIndex endpoint) const;
   Time end_of_arrivals() const { return to_microseconds(settings_.duration); }
 
-  const std::int64_t allocated_before_ = allocated().bytes;
+  const std::int64_t initial_allocated_bytes_ = allocated().bytes;
   const FleetSettings settings_;
   const std::function<void(double)>& progress_;
   RandomSource random_;
@@ -105,7 +107,7 @@
   std::vector<RelayIndex> running_relays_;
   CallTable calls_;
   dispatch::MessageId next_message_ = 1;
-  bool has_restart_ = false;  // relays have been started again
+  bool has_restarted_relays_ = false;  // a killed relay has been started again
   Statistics statistics_;
 };
 
@@ -136,7 +138,8 @@
   return destinations;
 }
 
-// One of the two whole numbers beside the mean, drawn so that the mean holds over all destinations.
+// The number of endpoints is the mean rounded down or up at random, such that its expected value is the mean,
+// and at least 1.
 void Fleet::add_endpoints(DestinationIndex destination) {
   const double mean = settings_.destination.mean_endpoints;
   const bool is_rounded_up = random_.bernoulli(mean - std::floor(mean));
@@ -150,7 +153,7 @@
 void Fleet::schedule_faults() {
   const FaultSettings& faults = settings_.faults;
   if (faults.unavailable_fraction > 0) {
-    // Which destination goes down is drawn when it does.
+    // The destination is drawn when the outage begins.
     const double interval =
         faults.outage_duration / (faults.unavailable_fraction * static_cast<double>(destinations_.size()));
     for (double at = random_.uniform() * interval; at < settings_.duration; at += interval)
@@ -171,7 +174,8 @@
 
 FleetResult Fleet::run() {
   const double cpu_time_before = thread_cpu_time();
-  // Beyond the last arrival until all messages have ended.
+  // Continues after the last arrival for the deadline of non-idempotent messages and 1 s more, so that all
+  // messages end.
   const Time end = to_microseconds(settings_.duration + settings_.workload.non_idempotent.deadline + 1);
   const Time progress_interval = to_microseconds(1);
   Time progress_at = 0;
@@ -183,9 +187,9 @@
     }
     std::visit([this](const auto& event) { handle(event); }, next->event);
   }
-  FleetResult result = statistics_.result(destinations_, has_restart_);
+  FleetResult result = statistics_.result(destinations_, has_restarted_relays_);
   result.endpoints = static_cast<std::int64_t>(endpoints_.size());
-  result.bytes_per_relay = (allocated().bytes - allocated_before_) / settings_.relay_count;
+  result.bytes_per_relay = (allocated().bytes - initial_allocated_bytes_) / settings_.relay_count;
   result.cpu_seconds_per_relay = (thread_cpu_time() - cpu_time_before) / kMicrosecondsPerSecond /
                                  settings_.relay_count / to_seconds(now_);
   return result;
@@ -211,16 +215,16 @@
 
 void Fleet::handle(const RelayKill&) {
   const double fraction = settings_.faults.killed_relay_fraction;
-  const auto killed = static_cast<RelayIndex>(std::lround(fraction * settings_.relay_count));
-  for (RelayIndex relay = 0; relay < killed; relay++) {
+  const auto killed_count = static_cast<RelayIndex>(std::lround(fraction * settings_.relay_count));
+  for (RelayIndex relay = 0; relay < killed_count; relay++) {
     relays_.at(relay).kill();
     queue_.schedule(now_ + to_microseconds(settings_.faults.restart_delay), RelayStart{relay});
   }
-  std::erase_if(running_relays_, [killed](RelayIndex relay) { return relay < killed; });
+  std::erase_if(running_relays_, [killed_count](RelayIndex relay) { return relay < killed_count; });
 }
 
 void Fleet::handle(const RelayStart& start) {
-  if (!std::exchange(has_restart_, true)) start_overrun_measurement();
+  if (!std::exchange(has_restarted_relays_, true)) start_overrun_measurement();
   start_relay(start.relay);
 }
 
@@ -245,13 +249,14 @@
   const DestinationIndex destination = workload_.draw_destination(random_);
   if (running_relays_.empty()) return;
   RelayIndex relay = workload_.draw_relay(random_);
-  // The load balancer in front of the relays spreads the messages of one that is down over the others.
+  // The load balancer in front of the relays distributes the messages of a relay that is down over the
+  // others.
   if (!relays_.at(relay).is_up()) relay = running_relays_.at(random_.index(running_relays_.size()));
   accept_message(relay, destination);
 }
 
 void Fleet::accept_message(RelayIndex relay, DestinationIndex destination) {
-  const Destination& state = destinations_.at(destination);
+  const Destination& destination_model = destinations_.at(destination);
   JournaledMessage message;
   message.destination = destination;
   message.message_class = workload_.draw_class(random_);
@@ -260,7 +265,7 @@
       to_microseconds(objectives(settings_.workload, message.message_class).deadline);
   message.deadline = now_ + time_to_deadline;
   message.is_counted = statistics_.counts_message(now_, message.deadline);
-  message.is_unaffected = !state.is_down(now_) && !state.is_in_slow_start(now_);
+  message.is_unaffected = !destination_model.is_down(now_) && !destination_model.is_in_slow_start(now_);
 
   dispatch::event::Arrival arrival;
   arrival.id = next_message_++;
@@ -272,18 +277,18 @@
 }
 
 void Fleet::execute(RelayIndex relay, const dispatch::action::Reject& reject) {
-  end_message(relay, reject.id, MessageEnd::rejected);
+  end_message(relay, reject.id, MessageResult::rejected);
 }
 
 void Fleet::execute(RelayIndex relay, const dispatch::action::Fail& fail) {
-  end_message(relay, fail.id, MessageEnd::failed);
+  end_message(relay, fail.id, MessageResult::failed);
 }
 
-void Fleet::end_message(RelayIndex relay, dispatch::MessageId id, MessageEnd end) {
+void Fleet::end_message(RelayIndex relay, dispatch::MessageId id, MessageResult result) {
   Journal& journal = relays_.at(relay).journal();
   const auto found = journal.find(id);
   if (found == journal.end()) return;
-  statistics_.message_ended(now_, id, found->second, end);
+  statistics_.record_message_end(now_, id, found->second, result);
   journal.erase(found);
 }
 
@@ -300,7 +305,7 @@
   call.sent_at = now_;
   if (message.attempts.empty()) message.first_attempt_zone = endpoints_.at(call.endpoint).zone;
   message.attempts.push_back({.sent_at = now_, .outcome = std::nullopt});
-  statistics_.call_sent(call);
+  statistics_.record_call_sent(call);
   const CallNumber number = calls_.open(call);
   queue_.schedule(now_ + network_delay(relay, call.endpoint), CallArrival{number});
   queue_.schedule(now_ + send.timeout, CallAbort{number, Outcome::timeout});
@@ -315,9 +320,9 @@
   const Call* call = calls_.find(arrival.call);
   if (call == nullptr) return;
   const CallReply reply = destination_of(call->endpoint).receive_call(now_, call->relay, random_);
-  if (reply.outcome == Outcome::rejected) statistics_.call_rejected(now_);
+  if (reply.outcome == Outcome::rejected) statistics_.record_call_rejected(now_);
   calls_.set_reply(arrival.call, reply);
-  // The relay counts the connect timeout from its own sending on.
+  // The relay measures the connect timeout from the time at which it sent the call.
   const Time reply_at = reply.outcome == Outcome::connect_failed
                             ? call->sent_at + kConnectTimeout
                             : now_ + reply.processing_time + network_delay(call->relay, call->endpoint);
@@ -338,9 +343,9 @@
 void Fleet::end_call(CallNumber number, const CallReply& reply) {
   const std::optional<Call> call = calls_.close(number);
   if (!call) return;
-  statistics_.call_ended(now_, reply.outcome);
+  statistics_.record_call_end(now_, reply.outcome);
   if (!relays_.at(call->relay).is_running(call->incarnation)) return;
-  statistics_.outcome_seen(now_, reply.outcome);
+  statistics_.record_observed_outcome(now_, reply.outcome);
   if (reply.outcome != Outcome::succeeded) notify_of_outage(*call);
   record_outcome(*call, reply.outcome);
   dispatch::event::AttemptEnded event;
@@ -355,7 +360,8 @@
   enqueue(call->relay, std::move(event));
 }
 
-// A relay knows of an outage once a call that came to the destination during it has not succeeded.
+// A relay is notified of an outage by the first unsuccessful call that reached the destination during the
+// outage.
 void Fleet::notify_of_outage(const Call& call) {
   Destination& destination = destination_of(call.endpoint);
   const Time arrived_at = call.sent_at + network_delay(call.relay, call.endpoint);
@@ -367,7 +373,7 @@
   const auto found = journal.find(call.message);
   if (found == journal.end()) return;
   found->second.attempts.at(static_cast<std::size_t>(call.attempt)).outcome = outcome;
-  if (outcome == Outcome::succeeded) end_message(call.relay, call.message, MessageEnd::delivered);
+  if (outcome == Outcome::succeeded) end_message(call.relay, call.message, MessageResult::delivered);
 }
 
 // ---- Destinations and the endpoint list ----
@@ -403,14 +409,14 @@
   const auto removed =
       std::make_shared<const Entries>(Entries{entry(replacement.removed, EndpointStatus::removed)});
   for (RelayIndex relay = 0; relay < relays_.size(); relay++) {
-    const double delay = settings_.network.max_list_delay * random_.uniform();
-    const Time heard_at = now_ + to_microseconds(delay);
-    queue_.schedule(heard_at, ListUpdate{relay, draining});
-    queue_.schedule(heard_at + kDrainingTime, ListUpdate{relay, removed});
+    const double delay = settings_.network.max_list_update_delay * random_.uniform();
+    const Time received_at = now_ + to_microseconds(delay);
+    queue_.schedule(received_at, ListUpdateArrival{relay, draining});
+    queue_.schedule(received_at + kDrainingTime, ListUpdateArrival{relay, removed});
   }
 }
 
-void Fleet::handle(const ListUpdate& update) {
+void Fleet::handle(const ListUpdateArrival& update) {
   enqueue(update.relay, dispatch::event::EndpointListUpdate{*update.endpoints});
 }
 
@@ -429,23 +435,24 @@
 
 namespace {
 
-// `problem` begins with the key of the setting in the experiment file.
-void require(bool holds, const char* problem) {
-  if (!holds) throw std::invalid_argument(problem);
+// Throws std::invalid_argument unless the condition holds. `problem` begins with the key of the setting in
+// the experiment file.
+void require(bool condition, const char* problem) {
+  if (!condition) throw std::invalid_argument(problem);
 }
 
 }  // namespace
 
 void validate(const FleetSettings& settings) {
   const WorkloadSettings& workload = settings.workload;
-  require(settings.relay_count >= 1, "relays: must be 1 or more");
+  require(settings.relay_count >= 1, "relays: must be at least 1");
   require(settings.destinations_per_relay >= 1 && settings.max_destinations >= 1,
-          "destinations: must be 1 or more");
-  require(settings.destination.rate_limit > 0 && workload.load > 0, "limit and load: must be above 0");
+          "destinations_per_relay and most_destinations: must be at least 1");
+  require(settings.destination.rate_limit > 0 && workload.load > 0, "limit and load: must be greater than 0");
   require(workload.burst_start >= workload.burst_end || workload.burst_load > 0,
-          "burst_load: must be above 0");
-  require(settings.warm_up < settings.duration, "warm_up: must be under length");
-  require(settings.network.zone_count >= 1, "zones: must be 1 or more");
+          "burst_load: must be greater than 0 if burst_from is before burst_to");
+  require(settings.warm_up < settings.duration, "warm_up: must be less than length");
+  require(settings.network.zone_count >= 1, "zones: must be at least 1");
 }
 
 FleetResult run_fleet(const FleetSettings& settings, const std::function<void(double second)>& progress) {
--- a/scale/fleet_experiment.cpp
+++ b/scale/fleet_experiment.cpp
@@ -84,11 +84,11 @@
                             {"report_delay", settings.destination.load_report_delay},
                             {"same_zone", network.same_zone_delay},
                             {"cross_zone", network.cross_zone_delay},
-                            {"list_delay", network.max_list_delay},
+                            {"list_delay", network.max_list_update_delay},
                             {"killed_at", faults.killed_at},
                             {"killed_for", faults.restart_delay},
                             {"churn", faults.endpoint_replacement_rate},
-                            {"uneven", workload.relay_skew}};
+                            {"uneven", workload.relay_traffic_variation}};
   for (const auto& [key, value] : keys) table.read(key, value, 0, kMaxNonNegative);
 }
 
--- a/scale/simulation/call_table.hpp
+++ b/scale/simulation/call_table.hpp
@@ -1,4 +1,4 @@
-// The calls in flight between relays and destinations.
+// Keeps the calls in flight between relays and destinations.
 #pragma once
 
 #include <cstdint>
@@ -14,33 +14,35 @@
 
 using CallNumber = std::uint64_t;
 
-// An attempt to deliver a message.
+// One attempt to deliver a message.
 struct Call {
   RelayIndex relay = 0;
-  int incarnation = 0;  // of the relay
+  int incarnation = 0;  // of the relay when it sent the call
   EndpointIndex endpoint = 0;
   dispatch::MessageId message = 0;
-  int attempt = 0;
+  int attempt = 0;  // 0 for the first attempt of the message
   Time sent_at = 0;
 };
 
-// Invariant: replies are kept only for calls in flight.
+// Holds the calls in flight by number, with their replies.
+// Invariant: a reply is kept only while its call is in flight.
 class CallTable {
  public:
-  // The call is in flight from now on.
+  // Adds a call that is now in flight and returns its number.
   [[nodiscard]] CallNumber open(const Call& call);
-  // The call has ended: takes it and its reply out. Nothing where it had ended before.
+  // Removes a call that has ended, with its reply, and returns it. Returns nothing if it had already ended.
   [[nodiscard]] std::optional<Call> close(CallNumber number);
-  // Null where the call has ended.
+  // Returns null if the call has ended.
   [[nodiscard]] const Call* find(CallNumber number) const;
+  // Returns nothing if the attempt is not in flight.
   [[nodiscard]] std::optional<CallNumber> find_attempt(RelayIndex relay, dispatch::MessageId message,
                                                        int attempt) const;
 
-  // The reply to a call in flight is on its way back.
+  // Stores the reply to a call in flight until it arrives at the relay.
   void set_reply(CallNumber number, const CallReply& reply);
-  // Nothing where the call has no reply.
+  // Returns nothing if there is no reply to the call.
   [[nodiscard]] std::optional<CallReply> reply(CallNumber number) const;
-  // The replies that are on their way from the destination do not come any more.
+  // Discards the replies from this destination that have not arrived yet. Their calls stay in flight.
   void drop_replies(DestinationIndex destination, const EndpointDirectory& endpoints);
 
  private:
--- a/scale/simulation/destination.cpp
+++ b/scale/simulation/destination.cpp
@@ -10,7 +10,8 @@
 
 std::unique_ptr<RateLimiter> make_rate_limiter(double rate_limit, const DestinationTraits& traits) {
   if (traits.has_fixed_window)
-    return std::make_unique<FixedWindow>(rate_limit, traits.window, traits.phase, traits.rejected_calls);
+    return std::make_unique<FixedWindow>(rate_limit, traits.window, traits.window_phase,
+                                         traits.rejected_calls);
   return std::make_unique<TokenBucket>(rate_limit, traits.bucket_fill_time, traits.rejected_calls);
 }
 
@@ -20,16 +21,16 @@
   DestinationTraits traits;
   traits.has_fixed_window = random.bernoulli(settings.fixed_window_fraction);
   traits.window = random.uniform(settings.min_window, settings.max_window);
-  // A bucket that holds less than one token would admit no call.
+  // A bucket with a depth of less than one token would admit no call.
   traits.bucket_fill_time = std::max(
       random.uniform(settings.min_bucket_fill_time, settings.max_bucket_fill_time), 1 / settings.rate_limit);
-  traits.rejected_calls =
-      random.bernoulli(settings.rejections_count_fraction) ? RejectedCalls::counted : RejectedCalls::free;
+  traits.rejected_calls = random.bernoulli(settings.rejections_count_fraction) ? RejectedCalls::counted
+                                                                               : RejectedCalls::not_counted;
   traits.retry_after_probability =
       random.uniform(settings.min_retry_after_probability, settings.max_retry_after_probability);
   traits.full_capacity =
       settings.rate_limit * random.uniform(settings.min_capacity_ratio, settings.max_capacity_ratio);
-  traits.phase = random.uniform();
+  traits.window_phase = random.uniform();
   return traits;
 }
 
@@ -44,31 +45,32 @@
       overload_detector_(settings) {}
 
 double Destination::listed_weight() const {
-  // Any number that is fixed for the destination serves: all relays must see the same weight.
-  const double fixed_random = std::fmod(traits_.phase * 7, 1);
+  // All relays must see the same weight, so the error is derived from a random trait of the destination
+  // instead of being drawn for each list.
+  const double fixed_random = std::fmod(traits_.window_phase * 7, 1);
   const double error = settings_.max_weight_error * (2 * fixed_random - 1);
   return rate_limit_ * (1 + error);
 }
 
 bool Destination::is_down(Time at) const {
-  return collapse_ != Overload::none || (at >= down_from_ && at < up_at_);
+  return collapse_cause_ != OverloadCause::none || (at >= outage_start_ && at < outage_end_);
 }
 
 bool Destination::is_in_slow_start(Time now) const {
-  return now >= up_at_ && now < up_at_ + to_microseconds(settings_.slow_start_duration);
+  return now >= outage_end_ && now < outage_end_ + to_microseconds(settings_.slow_start_duration);
 }
 
 double Destination::capacity(Time now) const {
-  const double progress = to_seconds(now - up_at_) / settings_.slow_start_duration;
+  const double progress = to_seconds(now - outage_end_) / settings_.slow_start_duration;
   const double start = settings_.slow_start_capacity;
   return traits_.full_capacity * std::min(1.0, start + (1 - start) * std::max(0.0, progress));
 }
 
 bool Destination::begin_outage(Time now, Time duration) {
-  const bool has_recovered = now >= up_at_ + to_microseconds(settings_.slow_start_duration);
-  if (collapse_ != Overload::none || !has_recovered) return false;
-  down_from_ = now;
-  up_at_ = now + duration;
+  const bool has_recovered = now >= outage_end_ + to_microseconds(settings_.slow_start_duration);
+  if (collapse_cause_ != OverloadCause::none || !has_recovered) return false;
+  outage_start_ = now;
+  outage_end_ = now + duration;
   notified_relays_.clear();
   overload_detector_.clear();
   return true;
@@ -78,7 +80,7 @@
   overrun_meter_.record_call(now);
   const double capacity_now = capacity(now);
   if (!is_down(now) && is_in_slow_start(now))
-    collapse_ = overload_detector_.record_call(now, notified_relays_.contains(relay), capacity_now);
+    collapse_cause_ = overload_detector_.record_call(now, notified_relays_.contains(relay), capacity_now);
   if (is_down(now)) {
     CallReply reply;
     reply.outcome = dispatch::Outcome::connect_failed;
--- a/scale/simulation/destination.hpp
+++ b/scale/simulation/destination.hpp
@@ -1,4 +1,4 @@
-// A modelled destination: what the receiver of the messages does with the calls of all relays.
+// Models a destination: how the receiver of the messages answers the calls of all relays.
 #pragma once
 
 #include <cstddef>
@@ -19,57 +19,62 @@
 
 using RelayIndex = std::size_t;
 
-// What a destination makes of a call.
+// The answer of a destination to a call.
 struct CallReply {
   dispatch::Outcome outcome = dispatch::Outcome::succeeded;
   Time processing_time = 0;  // from the call's arrival until the reply leaves
-  Time retry_after = 0;      // advised to a rejected call; 0: no advice
+  Time retry_after = 0;      // the Retry-After of a rejected call; 0 if there is none
   dispatch::LoadReport load_report;
 };
 
-// What differs between destinations.
+// The properties that differ between destinations.
 struct DestinationTraits {
-  bool has_fixed_window = false;  // else a token bucket
-  double window = 0;              // seconds
-  double bucket_fill_time = 0;    // seconds
-  RejectedCalls rejected_calls = RejectedCalls::free;
-  double retry_after_probability = 0;
-  double full_capacity = 0;  // calls per second
-  double phase = 0;          // of the limit's windows, between 0 and 1
+  bool has_fixed_window = false;  // otherwise the rate limit is a token bucket
+  double window = 0;              // length of a fixed window, in seconds
+  double bucket_fill_time = 0;    // time in which an empty token bucket fills up, in seconds
+  RejectedCalls rejected_calls = RejectedCalls::not_counted;
+  double retry_after_probability = 0;  // of a call that the rate limit rejects
+  double full_capacity = 0;            // calls per second
+  double window_phase = 0;             // fraction of a fixed window that is over at time 0
 };
 
+// Draws the properties of one destination at random.
 [[nodiscard]] DestinationTraits draw_traits(const DestinationSettings& settings, RandomSource& random);
 
-// Has a rate limit, a capacity above it, outages after which it comes back with a part of its capacity (slow
-// start), and load reports. It collapses for good when it is overloaded in slow start.
+// A destination has a rate limit, a capacity above the rate limit, outages and load reports. After an outage
+// it starts with a fraction of its capacity (slow start). It collapses permanently if it is overloaded in
+// slow start.
 //
-// Invariant: an outage lasts from `down_from_` until `up_at_`, and slow start follows it; a new outage begins
-// only after slow start. `notified_relays_` are those that know of the last outage. A collapsed destination
-// admits nothing any more. The times passed in never go back.
+// Invariant: an outage lasts from `outage_start_` until `outage_end_` and is followed by slow start; a new
+// outage begins only after slow start. `notified_relays_` holds the relays that know of the last outage. A
+// collapsed destination admits no further calls. The times passed to the functions must not decrease.
 class Destination {
  public:
-  // `load` is the rate of its messages as a multiple of the rate limit. The settings must outlive this.
+  // `load` is the rate of the destination's messages as a multiple of its rate limit. `settings` must outlive
+  // this object.
   Destination(const DestinationSettings& settings, double load, const DestinationTraits& traits);
 
-  // The rate of its messages, per second.
+  // The mean number of messages that arrive for the destination per second.
   [[nodiscard]] double message_rate() const { return rate_limit_ * load_; }
+  // In calls per second.
   [[nodiscard]] double rate_limit() const { return rate_limit_; }
-  // The weight that the endpoint list gives for its endpoints: the rate limit, wrong by some part.
+  // The weight of the destination's endpoints in the endpoint list: the rate limit with a relative error.
   [[nodiscard]] double listed_weight() const;
   [[nodiscard]] const RateLimiter& rate_limiter() const { return *rate_limiter_; }
 
-  // Takes in a call from a relay.
+  // Processes a call that arrives from a relay and returns the reply.
   [[nodiscard]] CallReply receive_call(Time now, RelayIndex relay, RandomSource& random);
 
-  // Begins an outage of so long, unless there is one, or slow start or a collapse. Returns whether it began.
+  // Begins an outage, unless the destination is already down, in slow start or collapsed. Returns whether the
+  // outage began.
   [[nodiscard]] bool begin_outage(Time now, Time duration);
-  // The relay knows of the present or last outage from now on.
+  // Records that the relay knows of the present or last outage.
   void notify(RelayIndex relay) { notified_relays_.insert(relay); }
-  // In an outage at that time, or collapsed.
+  // Returns whether the given time is within the present or last outage, or the destination has collapsed.
   [[nodiscard]] bool is_down(Time at) const;
   [[nodiscard]] bool is_in_slow_start(Time now) const;
-  // What it collapsed under.
-  [[nodiscard]] Overload collapse() const { return collapse_; }
+  // The cause of the destination's collapse; OverloadCause::none if it has not collapsed.
+  [[nodiscard]] OverloadCause collapse_cause() const { return collapse_cause_; }
 
   [[nodiscard]] OverrunMeter& overrun_meter() { return overrun_meter_; }
   [[nodiscard]] const OverrunMeter& overrun_meter() const { return overrun_meter_; }
@@ -90,9 +95,9 @@
 
   double queued_calls_ = 0;  // at `queue_updated_at_`
   Time queue_updated_at_ = 0;
-  Time down_from_ = kNever;
-  Time up_at_ = -kNever;
-  Overload collapse_ = Overload::none;
+  Time outage_start_ = kNever;
+  Time outage_end_ = -kNever;
+  OverloadCause collapse_cause_ = OverloadCause::none;
   std::set<RelayIndex> notified_relays_;
 };
 
--- a/scale/simulation/event_queue.hpp
+++ b/scale/simulation/event_queue.hpp
@@ -1,4 +1,4 @@
-// What is to happen in the simulation, in order of its time.
+// The future events of the simulation, in the order of their times.
 #pragma once
 
 #include <cstdint>
@@ -19,59 +19,60 @@
 // The next message arrives at a relay.
 struct MessageArrival {};
 
-// A relay runs its dispatcher. Void where the relay has been killed since.
+// A relay runs a round of its dispatcher. Ignored if the relay has been killed since the event was scheduled.
 struct DispatcherRound {
   RelayIndex relay = 0;
   int incarnation = 0;
 };
 
-// A timer of a dispatcher expires. Void where the relay has been killed since.
+// A timer of a dispatcher expires. Ignored if the relay has been killed since the event was scheduled.
 struct TimerExpiry {
   RelayIndex relay = 0;
   int incarnation = 0;
 };
 
-// A call comes to its destination.
+// A call arrives at its destination.
 struct CallArrival {
   CallNumber call = 0;
 };
 
-// The reply to a call comes to the relay.
+// The reply to a call arrives at the relay.
 struct ReplyArrival {
   CallNumber call = 0;
 };
 
-// A relay gives up waiting for a reply, or its dispatcher has cancelled the call.
+// A call times out at its relay, or the relay's dispatcher has cancelled it.
 struct CallAbort {
   CallNumber call = 0;
   dispatch::Outcome outcome = dispatch::Outcome::timeout;
 };
 
-// A destination goes down.
+// An outage of a destination begins.
 struct OutageStart {};
 
-// An endpoint of the list is replaced.
+// An endpoint in the endpoint list is replaced.
 struct ListChange {};
 
-// A relay hears of a change of the list.
-struct ListUpdate {
+// A relay receives a change of the endpoint list.
+struct ListUpdateArrival {
   RelayIndex relay = 0;
   std::shared_ptr<const std::vector<dispatch::Endpoint>> endpoints;
 };
 
-// Some of the relays are killed at once.
+// A fraction of the relays is killed at the same time.
 struct RelayKill {};
 
+// A killed relay starts again.
 struct RelayStart {
   RelayIndex relay = 0;
 };
 
-// The overruns of all rate limits are measured.
+// The overruns of the rate limits of all destinations are measured.
 struct OverrunMeasurement {};
 
 using SimulationEvent =
     std::variant<MessageArrival, DispatcherRound, TimerExpiry, CallArrival, ReplyArrival, CallAbort,
-                 OutageStart, ListChange, ListUpdate, RelayKill, RelayStart, OverrunMeasurement>;
+                 OutageStart, ListChange, ListUpdateArrival, RelayKill, RelayStart, OverrunMeasurement>;
 
 struct ScheduledEvent {
   Time at = 0;
@@ -79,14 +80,16 @@
   SimulationEvent event;
 };
 
-// Invariant: events come out in the order of their times, and those of the same time as they were scheduled.
+// Invariant: events are returned in the order of their times, and events of the same time in the order in
+// which they were scheduled.
 class EventQueue {
  public:
   void schedule(Time at, SimulationEvent event);
-  // Takes out the next event up to and including `end`; nothing where there is none.
+  // Removes and returns the next event. Returns nothing if there is no event up to and including `end`.
   [[nodiscard]] std::optional<ScheduledEvent> pop(Time end);
 
  private:
+  // Orders the heap such that the earliest event is on top.
   struct Later {
     bool operator()(const ScheduledEvent& a, const ScheduledEvent& b) const;
   };
--- a/scale/simulation/load_reporter.hpp
+++ b/scale/simulation/load_reporter.hpp
@@ -1,4 +1,4 @@
-// The load reports that a modelled destination adds to its replies.
+// Creates the load reports that a modelled destination adds to its replies.
 #pragma once
 
 #include "fleet.hpp"
@@ -8,13 +8,14 @@
 
 namespace scale_tool::simulation {
 
-// Reports what is left of a rate limit, with noise. The value is measured once in a period and is published
-// some time after that.
-// Invariant: `published_` is the last value whose publication time has come, `pending_` a later one or the
-// same.
+// Reports the remaining fraction of a rate limit, with random noise. The fraction is measured at most once in
+// a report period and appears in the reports after the report delay.
+//
+// Invariant: `published_` is the last measurement that has been published. `pending_` is a later measurement,
+// or the same.
 class LoadReporter {
  public:
-  // `rate_limit` in calls per second. The settings must outlive this.
+  // `rate_limit` is in calls per second. `settings` must outlive this object.
   LoadReporter(const DestinationSettings& settings, double rate_limit)
       : settings_(settings), rate_limit_(rate_limit) {}
 
@@ -25,10 +26,10 @@
 
   const DestinationSettings& settings_;
   double rate_limit_;
-  double published_ = 1;
-  double pending_ = 1;
+  double published_ = 1;  // fraction of the rate limit
+  double pending_ = 1;    // fraction of the rate limit
   Time measured_at_ = -kNever;
-  Time publish_at_ = kNever;
+  Time publish_at_ = kNever;  // kNever once `pending_` has been published
 };
 
 }  // namespace scale_tool::simulation
--- a/scale/simulation/overload_detector.hpp
+++ b/scale/simulation/overload_detector.hpp
@@ -1,4 +1,4 @@
-// Decides when a destination in slow start collapses under its calls.
+// Detects when the calls to a destination in slow start make it collapse.
 #pragma once
 
 #include <cstddef>
@@ -9,21 +9,24 @@
 
 namespace scale_tool::simulation {
 
-enum class Overload {
+// Which relays sent the calls that overloaded a destination.
+enum class OverloadCause {
   none,
-  by_notified_relays,  // more than two thirds of the calls came from relays that knew of the outage
-  by_other_relays
+  notified_relays,  // more than two thirds of the calls came from relays that had been notified of the outage
+  other_relays
 };
 
-// Invariant: `calls_` holds the calls of the last `overload_duration` up to the last one, in order.
+// Compares the calls of the last `overload_duration` with a budget.
+// Invariant: `calls_` holds the calls of the `overload_duration` that ended with the last call, in order of
+// arrival.
 class OverloadDetector {
  public:
-  // The settings must outlive this.
+  // `settings` must outlive this object.
   explicit OverloadDetector(const DestinationSettings& settings) : settings_(settings) {}
 
-  // A call came to the destination, whose capacity is now so many calls per second. Tells whether it was the
-  // one too many.
-  [[nodiscard]] Overload record_call(Time now, bool from_notified_relay, double capacity);
+  // Records a call that arrives at the destination. `capacity` is the destination's present capacity in calls
+  // per second. Returns OverloadCause::none unless the recent calls overload the destination.
+  [[nodiscard]] OverloadCause record_call(Time now, bool from_notified_relay, double capacity);
   void clear() { calls_.clear(); }
 
  private:
--- a/scale/simulation/overrun_meter.cpp
+++ b/scale/simulation/overrun_meter.cpp
@@ -12,7 +12,7 @@
 void OverrunMeter::update(Time now) {
   const Time period_start = now - to_microseconds(period_);
   while (!recent_calls_.empty() && recent_calls_.front() <= period_start) recent_calls_.pop_front();
-  // A period that does not begin with a window of the limit may see one call more.
+  // A period that does not coincide with a window of the rate limit may contain one more call than the limit.
   const double max_calls = std::max(1.0, rate_limit_ * period_) + 1;
   if (static_cast<double>(recent_calls_.size()) <= max_calls) {
     overrun_since_ = kNever;
--- a/scale/simulation/overrun_meter.hpp
+++ b/scale/simulation/overrun_meter.hpp
@@ -7,20 +7,22 @@
 
 namespace scale_tool::simulation {
 
-// Invariant: `recent_calls_` holds the arrivals of the last period up to the last update, in order;
-// `overrun_since_` is kNever unless they are more than the limit admits.
+// Counts all calls that arrive in the last period of the rate limit, including rejected ones.
+// Invariant: `recent_calls_` holds the arrival times of the period that ended with the last update, in order;
+// `overrun_since_` is kNever unless these calls exceed the rate limit.
 class OverrunMeter {
  public:
-  // `rate_limit` in calls per second, `period` of the limit in seconds.
+  // `rate_limit` is in calls per second, `period` is the period of the rate limit in seconds.
   OverrunMeter(double rate_limit, double period) : rate_limit_(rate_limit), period_(period) {}
 
-  // A call arrived, whatever becomes of it.
+  // Records a call that arrives, whatever its outcome.
   void record_call(Time now);
-  // Brings the measurement up to now: an overrun goes on, or has ended, without calls too.
+  // Updates the measurement to the present time. Without regular updates, an overrun that continues or ends
+  // while no calls arrive would not be noticed.
   void update(Time now);
-  // Measures from now on alone.
+  // Discards the overruns measured so far.
   void reset();
-  // The longest time for which the calls of the last period were too many without a break, in seconds.
+  // The longest uninterrupted time for which the calls exceeded the rate limit, in seconds.
   [[nodiscard]] double longest_overrun() const { return longest_overrun_; }
 
  private:
--- a/scale/simulation/random_source.cpp
+++ b/scale/simulation/random_source.cpp
@@ -19,7 +19,7 @@
 
 double RandomSource::log_normal(double mean, double variation) {
   const double variance_of_log = std::log1p(variation * variation);
-  // Box and Muller's transform.
+  // The Box-Muller transform.
   const double radius = std::sqrt(-2 * std::log1p(-uniform()));
   const double angle = 2 * M_PI * uniform();
   const double normal = radius * std::cos(angle);
--- a/scale/simulation/random_source.hpp
+++ b/scale/simulation/random_source.hpp
@@ -1,4 +1,4 @@
-// Random numbers of the simulation.
+// Generates the random numbers of the simulation.
 #pragma once
 
 #include <cstddef>
@@ -7,24 +7,24 @@
 
 namespace scale_tool::simulation {
 
-// Draws from distributions. Those of the standard library differ between implementations; these give the same
-// numbers for a seed everywhere.
+// Draws from random distributions. The distributions of the standard library differ between implementations,
+// whereas these give the same numbers for the same seed on every platform.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
   // 64 random bits.
   [[nodiscard]] std::uint64_t bits() { return engine_(); }
-  // Evenly distributed in [0, 1).
+  // Uniformly distributed in [0, 1).
   [[nodiscard]] double uniform();
-  // Evenly distributed in [min, max).
+  // Uniformly distributed in [min, max).
   [[nodiscard]] double uniform(double min, double max);
   // True with the given probability.
   [[nodiscard]] bool bernoulli(double probability);
   [[nodiscard]] double exponential(double mean);
-  // `variation` is the coefficient of variation: the standard deviation over the mean.
+  // `variation` is the coefficient of variation: the standard deviation divided by the mean.
   [[nodiscard]] double log_normal(double mean, double variation);
-  // An index from 0 to size - 1.
+  // An index from 0 to `size` - 1; `size` must not be 0.
   [[nodiscard]] std::size_t index(std::size_t size);
 
  private:
--- a/scale/simulation/rate_limiter.cpp
+++ b/scale/simulation/rate_limiter.cpp
@@ -33,12 +33,12 @@
   const auto index = static_cast<std::int64_t>(std::floor(to_seconds(now) / length_ + phase_));
   if (index == window_index_) return;
   window_index_ = index;
-  used_ = 0;
+  counted_calls_ = 0;
 }
 
 double FixedWindow::remaining_fraction(Time now) {
   advance(now);
-  return std::max(0.0, allowance() - static_cast<double>(used_)) / allowance();
+  return std::max(0.0, allowance() - static_cast<double>(counted_calls_)) / allowance();
 }
 
 std::optional<Time> FixedWindow::admit(Time now) {
@@ -46,8 +46,8 @@
   const auto index = static_cast<double>(window_index_);
   const auto max_calls =
       static_cast<std::int64_t>(std::floor((index + 1) * allowance()) - std::floor(index * allowance()));
-  const bool admitted = used_ < max_calls;
-  if (admitted || rejected_calls_ == RejectedCalls::counted) used_++;
+  const bool admitted = counted_calls_ < max_calls;
+  if (admitted || rejected_calls_ == RejectedCalls::counted) counted_calls_++;
   if (admitted) return std::nullopt;
   return to_microseconds((index + 1 - phase_) * length_) - now + 1;
 }
--- a/scale/simulation/rate_limiter.hpp
+++ b/scale/simulation/rate_limiter.hpp
@@ -1,4 +1,4 @@
-// The rate limits of modelled destinations.
+// Models the rate limits of destinations.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,30 @@
 
 namespace scale_tool::simulation {
 
-// Whether calls that the limit rejects use it up as those that it admits do.
-enum class RejectedCalls { free, counted };
+// Whether rejected calls use up the rate limit like admitted calls.
+enum class RejectedCalls { not_counted, counted };
 
-// Admits calls up to a rate, whoever they are from. The times passed in never go back.
+// Admits calls up to a rate, regardless of the relay that sent them. The times passed to the functions must
+// not decrease.
 class RateLimiter {
  public:
   virtual ~RateLimiter() = default;
 
-  // Nothing: the call is admitted. Otherwise it is rejected, and this is the time until the limit admits one
-  // again.
+  // Decides whether a call is admitted. Returns nothing for an admitted call; for a rejected call, the time
+  // until the limit admits a call again.
   [[nodiscard]] virtual std::optional<Time> admit(Time now) = 0;
-  // The fraction of the limit that is left, between 0 and 1.
+  // The unused fraction of the limit, between 0 and 1.
   [[nodiscard]] virtual double remaining_fraction(Time now) = 0;
-  // The time for which the limit holds: of a window, or until a token bucket is full. In seconds.
+  // The length of a fixed window or the time in which an empty token bucket fills up, in seconds.
   [[nodiscard]] virtual double period() const = 0;
 };
 
-// Tokens come at a steady rate and each admitted call takes one.
-// Invariant: there are never more tokens than come in the fill time, nor is the debt ever larger than that.
+// Adds tokens at a constant rate; each admitted call takes one.
+// Invariant: the number of tokens is at most the depth, which is the number added in the fill time, and at
+// least the negative depth.
 class TokenBucket : public RateLimiter {
  public:
-  // `rate` in calls per second, `fill_time` in seconds. The bucket starts full.
+  // `rate` is in calls per second, `fill_time` in seconds. The bucket starts full.
   TokenBucket(double rate, double fill_time, RejectedCalls rejected_calls);
 
   std::optional<Time> admit(Time now) override;
@@ -38,21 +40,23 @@
 
  private:
   void refill(Time now);
+  // The number of tokens in a full bucket.
   double depth() const { return rate_ * fill_time_; }
 
   double rate_;
   double fill_time_;
   RejectedCalls rejected_calls_;
-  double tokens_;  // below 0 where rejected calls count
+  double tokens_;  // can be below 0 if rejected calls are counted
   Time refilled_at_ = 0;
 };
 
-// Admits so many calls in each of successive windows of one length. They are whole calls, and so many that
-// the mean over all windows is the rate. Invariant: `used_` counts the calls of the window `window_index_`
-// alone.
+// Admits a limited number of calls in each of successive windows of equal length. The limit of each window is
+// a whole number, chosen such that the mean over all windows is the rate.
+//
+// Invariant: `counted_calls_` is the number of calls counted in the window `window_index_`.
 class FixedWindow : public RateLimiter {
  public:
-  // `rate` in calls per second, `length` in seconds; at time 0 the fraction `phase` of a window is over.
+  // `rate` is in calls per second, `length` in seconds. At time 0, the fraction `phase` of a window is over.
   FixedWindow(double rate, double length, double phase, RejectedCalls rejected_calls);
 
   std::optional<Time> admit(Time now) override;
@@ -61,6 +65,7 @@
 
  private:
   void advance(Time now);
+  // The mean number of calls that a window admits.
   double allowance() const { return rate_ * length_; }
 
   double rate_;
@@ -68,7 +73,7 @@
   double phase_;
   RejectedCalls rejected_calls_;
   std::int64_t window_index_ = -1;
-  std::int64_t used_ = 0;
+  std::int64_t counted_calls_ = 0;
 };
 
 }  // namespace scale_tool::simulation
--- a/scale/simulation/simulated_relay.cpp
+++ b/scale/simulation/simulated_relay.cpp
@@ -9,9 +9,9 @@
 constexpr double kLateWeightFraction = 0.2;
 constexpr double kIdempotentPriority = 1;
 constexpr double kNonIdempotentPriority = 3;
-constexpr Time kMaxRetryAfter = 3'000'000;
-constexpr Time kDrainGrace = 2'000'000;
-constexpr Time kAnswerSlack = 100'000;
+constexpr Time kMaxRetryAfter = 3'000'000;   // microseconds
+constexpr Time kDrainGrace = 2'000'000;      // microseconds
+constexpr Time kFinalAnswerGrace = 100'000;  // microseconds
 
 dispatch::ClassSettings class_settings(const ClassObjectives& objectives, double priority_weight,
                                        dispatch::Idempotency idempotency) {
@@ -22,8 +22,8 @@
           .idempotency = idempotency};
 }
 
-// The destination has certainly not executed the message in such an attempt.
-bool is_without_effect(const JournaledAttempt& attempt) {
+// Returns whether it is certain that the destination has not executed the message in this attempt.
+bool was_certainly_not_executed(const JournaledAttempt& attempt) {
   return attempt.outcome == dispatch::Outcome::rejected ||
          attempt.outcome == dispatch::Outcome::connect_failed;
 }
@@ -37,7 +37,7 @@
   event.message.time_to_deadline = message.deadline - now;
   event.attempts_made = static_cast<int>(message.attempts.size());
   const auto possible_execution =
-      std::find_if_not(message.attempts.begin(), message.attempts.end(), is_without_effect);
+      std::find_if_not(message.attempts.begin(), message.attempts.end(), was_certainly_not_executed);
   if (possible_execution != message.attempts.end()) {
     event.possible_execution_zone = message.first_attempt_zone;
     event.possible_execution_sent_at = possible_execution->sent_at;
@@ -65,7 +65,7 @@
   result.connect_timeout = kConnectTimeout;
   result.max_retry_after = kMaxRetryAfter;
   result.drain_grace = kDrainGrace;
-  result.final_answer_grace = kAnswerSlack;
+  result.final_answer_grace = kFinalAnswerGrace;
   result.overload_multiple = settings.destination.overload_multiple;
   result.overload_duration = to_microseconds(settings.destination.overload_duration);
   result.slow_start_capacity_fraction = settings.destination.slow_start_capacity;
--- a/scale/simulation/simulated_relay.hpp
+++ b/scale/simulation/simulated_relay.hpp
@@ -1,4 +1,4 @@
-// A relay around a real dispatcher, with a journal that outlives it.
+// Models a relay: runs a real dispatcher and keeps a journal that survives when the relay is killed.
 #pragma once
 
 #include <cstddef>
@@ -14,20 +14,22 @@
 
 namespace scale_tool::simulation {
 
-// A relay runs its dispatcher at most once in this time.
+// The shortest time between two rounds of a relay's dispatcher, in microseconds.
 constexpr Time kMinRoundInterval = 5'000;
-// A connection that is not there after this time has failed.
+// The time after which an attempt to connect has failed, in microseconds.
 constexpr Time kConnectTimeout = 1'000'000;
 
-// The values are positions in dispatch::Settings::classes.
+// The values are indices in dispatch::Settings::classes.
 enum class MessageClass { idempotent, non_idempotent };
 
+// An attempt to deliver a message, as recorded in the relay's journal.
 struct JournaledAttempt {
   Time sent_at = 0;
-  std::optional<dispatch::Outcome> outcome;  // nothing: in flight, or never seen
+  // Nothing while the attempt is in flight, or if the relay was killed before it observed the outcome.
+  std::optional<dispatch::Outcome> outcome;
 };
 
-// A message that a relay has taken on, as its journal has it.
+// A message that a relay has accepted, as recorded in its journal.
 struct JournaledMessage {
   DestinationIndex destination = 0;
   MessageClass message_class = MessageClass::idempotent;
@@ -35,20 +37,21 @@
   Time deadline = 0;
   std::vector<JournaledAttempt> attempts;
   int first_attempt_zone = 0;
-  // For the statistics.
-  bool is_counted = false;
-  bool is_unaffected = true;  // by outages of its destination
+  // Used only by the statistics.
+  bool is_counted = false;    // arrived and due within the measured time
+  bool is_unaffected = true;  // by outages and slow start of its destination
 };
 
-// Messages that have not ended, by their number.
+// The messages that have not ended, by identifier.
 using Journal = std::map<dispatch::MessageId, JournaledMessage>;
 
-// The settings of the dispatcher in one of the relays.
+// Returns the settings of the dispatcher in one relay.
 [[nodiscard]] dispatch::Settings dispatcher_settings(const FleetSettings& settings, RelayIndex relay);
 
-// Invariant: while the relay is down, it has no dispatcher, no events in its inbox and no round scheduled.
-// Its journal stays. Each time it is killed its incarnation grows, so that what was scheduled for an earlier
-// one can be told apart.
+// Collects events in an inbox and passes them to the dispatcher in rounds.
+// Invariant: while the relay is down, it has no dispatcher, no events in its inbox and no round scheduled,
+// but keeps its journal. The incarnation increases each time the relay is killed, so that events that were
+// scheduled for an earlier incarnation can be recognized.
 class SimulatedRelay {
  public:
   explicit SimulatedRelay(int zone) : zone_(zone) {}
@@ -56,18 +59,19 @@
   void start(std::unique_ptr<dispatch::Dispatcher> dispatcher);
   void kill();
   [[nodiscard]] bool is_up() const { return dispatcher_ != nullptr; }
+  // Returns whether the relay is up and has not been killed since the given incarnation.
   [[nodiscard]] bool is_running(int incarnation) const { return is_up() && incarnation == incarnation_; }
   [[nodiscard]] int incarnation() const { return incarnation_; }
   [[nodiscard]] int zone() const { return zone_; }
 
-  // Keeps the event for the next round; while the relay is down it is lost. Returns the time of a round that
-  // must now be scheduled, if the event needs one of its own.
+  // Keeps the event for the next round, or drops it if the relay is down. Returns the time for which the
+  // caller must schedule a round, or nothing if a round is already scheduled or the relay is down.
   [[nodiscard]] std::optional<Time> enqueue(Time now, dispatch::Event event);
-  // Hands the inbox to the dispatcher.
+  // Passes all events in the inbox to the dispatcher and returns the dispatcher's actions.
   [[nodiscard]] std::vector<dispatch::Action> run_round(Time now);
 
   [[nodiscard]] Journal& journal() { return journal_; }
-  // What a relay that has started tells its dispatcher of the messages in the journal.
+  // Returns the events by which a restarted relay passes the messages in its journal to its new dispatcher.
   [[nodiscard]] std::vector<dispatch::event::MessageRecovered> recovered_messages(Time now) const;
 
  private:
--- a/scale/simulation/statistics.hpp
+++ b/scale/simulation/statistics.hpp
@@ -1,4 +1,4 @@
-// What the simulation counts of messages and calls.
+// Counts the messages and calls of the simulation.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace scale_tool::simulation {
 
-// A hash of numbers in order (FNV-1a on whole words, from 0).
+// A hash of a sequence of numbers: FNV-1a on 64-bit words instead of bytes, with the initial value 0.
 class Digest {
  public:
   void add(std::uint64_t value);
@@ -23,33 +23,39 @@
   std::uint64_t value_ = 0;
 };
 
-enum class MessageEnd { delivered, rejected, failed };
+// How a message ended.
+enum class MessageResult { delivered, rejected, failed };
 
-// Invariant: calls are counted only between the warm-up and the end; the digest is of all calls and messages.
+// Collects the counts of one simulation.
+// Invariant: calls are counted only between the warm-up and the end of arrivals; the digest covers all calls
+// and messages.
 class Statistics {
  public:
-  // The settings must outlive this.
+  // `settings` must outlive this object.
   explicit Statistics(const FleetSettings& settings) : settings_(settings) {}
 
-  // Whether a message that arrives now with that deadline is counted.
+  // Returns whether a message that arrives now with the given deadline is counted.
   [[nodiscard]] bool counts_message(Time now, Time deadline) const;
 
-  void call_sent(const Call& call);
-  // A destination rejected a call.
-  void call_rejected(Time now);
-  // A call has ended, whether or not its relay is there to see it.
-  void call_ended(Time now, dispatch::Outcome outcome);
-  // The relay saw it.
-  void outcome_seen(Time now, dispatch::Outcome outcome);
-  void message_ended(Time now, dispatch::MessageId id, const JournaledMessage& message, MessageEnd end);
+  void record_call_sent(const Call& call);
+  // Records that a destination rejected a call.
+  void record_call_rejected(Time now);
+  // Records the end of a call, even if its relay has been killed and does not observe the outcome.
+  void record_call_end(Time now, dispatch::Outcome outcome);
+  // Records that the relay which sent a call observed its outcome.
+  void record_observed_outcome(Time now, dispatch::Outcome outcome);
+  void record_message_end(Time now, dispatch::MessageId id, const JournaledMessage& message,
+                          MessageResult result);
 
-  // The counts so far, with what is read from the destinations at the end. `has_restart`: overruns of the
-  // rate limits have been measured since a restart of relays.
-  [[nodiscard]] FleetResult result(const std::vector<Destination>& destinations, bool has_restart) const;
+  // Returns the counts so far and the results that are read from the destinations at the end. Overruns of the
+  // rate limits are included only if `has_restarted_relays`, because they are measured from the first restart
+  // on.
+  [[nodiscard]] FleetResult result(const std::vector<Destination>& destinations,
+                                   bool has_restarted_relays) const;
 
  private:
   bool counts_calls(Time now) const;
-  void add_destination(FleetResult& result, const Destination& destination, bool has_restart) const;
+  void add_destination(FleetResult& result, const Destination& destination, bool has_restarted_relays) const;
 
   const FleetSettings& settings_;
   FleetResult counts_;
--- a/scale/simulation/virtual_time.hpp
+++ b/scale/simulation/virtual_time.hpp
@@ -11,7 +11,7 @@
 
 using dispatch::Time;
 
-// Later than all that happens, and small enough to have durations added to it.
+// Later than all events, but small enough that adding a duration does not overflow.
 constexpr Time kNever = INT64_MAX / 4;
 
 inline Time to_microseconds(double seconds) {
--- a/scale/simulation/workload.cpp
+++ b/scale/simulation/workload.cpp
@@ -6,7 +6,8 @@
 namespace scale_tool::simulation {
 namespace {
 
-// The first element above the value; the last one where rounding leaves none.
+// Returns the index of the first element above the value, or of the last element if rounding errors leave
+// none.
 std::size_t first_above(const std::vector<double>& cumulative, double value) {
   const auto found = std::upper_bound(cumulative.begin(), cumulative.end(), value);
   return std::min(static_cast<std::size_t>(found - cumulative.begin()), cumulative.size() - 1);
@@ -24,7 +25,7 @@
   }
   double share = 0;
   for (int i = 0; i < settings.relay_count; i++) {
-    share += random.log_normal(1, settings.workload.relay_skew);
+    share += random.log_normal(1, settings.workload.relay_traffic_variation);
     cumulative_relay_shares_.push_back(share);
   }
   for (double& cumulative : cumulative_relay_shares_) cumulative /= share;
--- a/scale/simulation/workload.hpp
+++ b/scale/simulation/workload.hpp
@@ -1,4 +1,4 @@
-// The messages that arrive: when, for which destination and at which relay.
+// Generates the messages that arrive: their times, destinations, relays and classes.
 #pragma once
 
 #include <vector>
@@ -12,15 +12,17 @@
 
 namespace scale_tool::simulation {
 
-// Invariant: both lists are ascending; element i is the sum of the parts up to and including i, in messages
-// per second for the destinations and as a fraction of 1 for the relays.
+// Draws the properties of each message at random.
+// Invariant: both lists are ascending; element i is the sum over the elements up to and including i, in
+// messages per second for the destinations and as a fraction of the whole traffic for the relays.
 class Workload {
  public:
-  // Draws the relays' parts of the traffic. The settings must outlive this.
+  // Draws the relays' shares of the traffic. `settings` must outlive this object.
   Workload(const FleetSettings& settings, const std::vector<Destination>& destinations, RandomSource& random);
 
-  // The time until the first message arrives, and from a message that arrives now to the next.
+  // Draws the time until the first message arrives.
   [[nodiscard]] Time first_interval(RandomSource& random) const;
+  // Draws the time from a message that arrives now to the next message.
   [[nodiscard]] Time next_interval(Time now, RandomSource& random) const;
 
   [[nodiscard]] DestinationIndex draw_destination(RandomSource& random) const;
@@ -35,7 +37,7 @@
   std::vector<double> cumulative_relay_shares_;  // by relay
 };
 
-// The objectives of the class.
+// Returns the objectives of a message class.
 [[nodiscard]] const ClassObjectives& objectives(const WorkloadSettings& settings, MessageClass message_class);
 
 }  // namespace scale_tool::simulation
--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -1,5 +1,5 @@
-// The simulated fleet: equal results for equal seeds, destinations that keep to their settings, and what the
-// dispatchers reach together where each has but a small share of every destination's limit.
+// Tests the simulated fleet: equal seeds give equal results, destinations follow their settings, and the
+// dispatchers together deliver well although each has only a small share of every destination's rate limit.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -19,7 +19,8 @@
   return settings;
 }
 
-// A relay's share of each rate limit is a call in minutes. A message does not live so long.
+// A relay's share of each rate limit is less than one call per minute, whereas the deadline of a message is
+// only seconds after its arrival.
 FleetSettings large_fleet() {
   FleetSettings settings;
   settings.relay_count = 300;
@@ -38,12 +39,12 @@
   return static_cast<double>(part) / static_cast<double>(all);
 }
 
-// Of the calls that the rate limits allow.
-double used_fraction(const FleetResult& result) {
+// The number of successful calls as a fraction of the calls that the rate limits allow.
+double rate_limit_utilization(const FleetResult& result) {
   return static_cast<double>(result.calls_succeeded) / result.calls_allowed;
 }
 
-TEST(SimulatedFleet, IsTheSameForASeedAndAnotherForAnother) {
+TEST(SimulatedFleet, EqualSeedsGiveEqualResultsAndDifferentSeedsDiffer) {
   FleetSettings settings = small_fleet();
   settings.faults.unavailable_fraction = 0.05;
   settings.faults.endpoint_replacement_rate = 1;
@@ -56,7 +57,9 @@
   EXPECT_NE(run_fleet(settings).digest, first.digest);
 }
 
-TEST(SimulatedFleet, EndsEachMessageOnce) {
+// Under overload, with outages and killed relays, no message ends twice and at least 99% of the messages end
+// as delivered in time, failed or rejected.
+TEST(SimulatedFleet, EachMessageEndsOnceWithOutagesAndKilledRelays) {
   FleetSettings settings = small_fleet();
   settings.workload.load = 1.5;
   settings.faults.unavailable_fraction = 0.05;
@@ -64,12 +67,13 @@
   const FleetResult result = run_fleet(settings);
   EXPECT_GT(result.messages, 1'000);
   const std::int64_t ended = result.delivered + result.failed + result.rejected;
-  EXPECT_LE(ended, result.messages);  // the others were delivered after the deadline
+  EXPECT_LE(ended, result.messages);  // the other messages were delivered after their deadline
   EXPECT_GE(ended, result.messages * 99 / 100);
 }
 
-// However much is asked for, no more is served than the limit allows, and the rest is rejected.
-TEST(SimulatedFleet, ServesNoMoreThanTheLimitsAllow) {
+// At three times the load that the rate limits allow, destinations serve calls up to their limits and reject
+// the rest.
+TEST(SimulatedFleet, OverloadIsServedOnlyUpToTheRateLimits) {
   FleetSettings settings = small_fleet();
   settings.workload.load = 3;
   settings.duration = 60;
@@ -77,12 +81,12 @@
     settings.destination.fixed_window_fraction = fixed_window_fraction;
     const FleetResult result = run_fleet(settings);
     EXPECT_GT(result.calls_rejected, 0);
-    EXPECT_LT(used_fraction(result), 1.05);
-    EXPECT_GT(used_fraction(result), 0.7);
+    EXPECT_LT(rate_limit_utilization(result), 1.05);
+    EXPECT_GT(rate_limit_utilization(result), 0.7);
   }
 }
 
-TEST(SimulatedFleet, TellsMessagesThatOutagesAffectFromTheOthers) {
+TEST(SimulatedFleet, MessagesCountAsAffectedOnlyIfThereAreOutages) {
   FleetSettings settings = small_fleet();
   settings.faults.unavailable_fraction = 0.1;
   const FleetResult with_outages = run_fleet(settings);
@@ -93,9 +97,9 @@
   EXPECT_EQ(without_outages.unaffected_messages, without_outages.messages);
 }
 
-// A destination that starts with next to no capacity collapses under what comes; one that has all of its
-// capacity at once does not.
-TEST(SimulatedFleet, DestinationsCollapseUnderOverloadInSlowStart) {
+// A destination that starts with 1% of its capacity collapses under the calls that arrive; a destination that
+// has its full capacity at once does not.
+TEST(SimulatedFleet, DestinationsCollapseWhenOverloadedInSlowStart) {
   FleetSettings settings = small_fleet();
   settings.relay_count = 30;
   settings.workload.load = 2;
@@ -110,38 +114,38 @@
   EXPECT_EQ(run_fleet(settings).collapses, 0);
 }
 
-TEST(SimulatedFleet, RejectsSettingsThatMakeNoSense) {
+TEST(SimulatedFleet, WarmUpAsLongAsTheDurationIsInvalid) {
   FleetSettings settings = small_fleet();
   settings.warm_up = settings.duration;
   EXPECT_THROW(static_cast<void>(run_fleet(settings)), std::invalid_argument);
 }
 
-TEST(SmallShares, AreEnoughForDeliveryUnderTheLimitsHoweverManyRelaysThereAre) {
+TEST(SmallRateLimitShares, UnevenTrafficBelowTheRateLimitsIsDelivered) {
   FleetSettings settings = large_fleet();
-  settings.workload.relay_skew = 1;
+  settings.workload.relay_traffic_variation = 1;
   const FleetResult result = run_fleet(settings);
   EXPECT_GT(result.delivered, result.messages * 95 / 100);
 }
 
-TEST(SmallShares, KeepTheRejectedFractionOfCallsBounded) {
+TEST(SmallRateLimitShares, LoadAboveTheRateLimitsKeepsTheRejectedFractionBounded) {
   FleetSettings settings = large_fleet();
   settings.workload.load = 1.2;
   const FleetResult result = run_fleet(settings);
   EXPECT_LT(ratio(result.calls_rejected, result.calls_succeeded), 0.35);
-  EXPECT_GT(used_fraction(result), 0.7);
+  EXPECT_GT(rate_limit_utilization(result), 0.7);
 }
 
-// The bound is on all calls together: a few destinations that are over their limits hold back few calls to
-// the others.
-TEST(SmallShares, AreUsedBesideAFewDestinationsThatAreOverTheirLimits) {
+// Guards against a few overloaded destinations holding back the calls to the other destinations. The bound
+// applies to the messages to all destinations together.
+TEST(SmallRateLimitShares, FewOverloadedDestinationsDoNotHoldBackTheOthers) {
   FleetSettings settings = large_fleet();
   settings.workload.hot_fraction = 0.05;
   settings.workload.hot_load = 2;
   const FleetResult result = run_fleet(settings);
-  EXPECT_GT(result.delivered, result.messages * 83 / 100);  // of the 91% that the limits allow
+  EXPECT_GT(result.delivered, result.messages * 83 / 100);  // the rate limits allow 91%
 }
 
-TEST(SmallShares, NotifiedRelaysDoNotMakeADestinationInSlowStartCollapse) {
+TEST(SmallRateLimitShares, RelaysNotifiedOfAnOutageDoNotCollapseADestinationInSlowStart) {
   FleetSettings settings = large_fleet();
   settings.faults.unavailable_fraction = 0.017;
   for (settings.seed = 1; settings.seed <= 3; settings.seed++) {
@@ -151,8 +155,9 @@
   }
 }
 
-// Eight times the load otherwise asked for, for a while: calls come back within seconds.
-TEST(SmallShares, RecoverFromAnOverloadThatIsOver) {
+// For 10 s, the load is eight times the usual load. Messages are counted from 10 s after the burst on, when
+// delivery must have recovered.
+TEST(SmallRateLimitShares, DeliveryRecoversWithinSecondsAfterABurst) {
   FleetSettings settings = large_fleet();
   settings.relay_count = 100;
   settings.max_destinations = 100;
