--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,7 +1,9 @@
 #!/bin/bash
-# Checks all C++ files as CI does. Usage: tools/lint.sh [format|tidy|all] (all unless given).
-#   format  clang-format: no file differs from .clang-format
-#   tidy    clang-tidy: no finding of .clang-tidy, over all cores; configures build-lint for the compile commands
+# Checks the C++ files in the same way as CI.
+# Usage: tools/lint.sh [format|tidy|all] (default: all)
+#   format  runs clang-format; fails if a file is not formatted according to .clang-format
+#   tidy    runs clang-tidy on the files outside tests/consumer, one process per core; fails if a check that
+#           .clang-tidy enables reports anything. Configures build-lint, which provides the compile commands.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 what=${1:-all}
