--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,8 +1,8 @@
-// One process takes over from another on the same folder. The real program meets itself, or a stand-in that
-// leaves at each step of the handover.
+// Handover of a state folder from one process to another: between two processes of the real program, or
+// between the program and a peer, played by the test, that disconnects or dies at each step of the protocol.
 //
 // The first process of an upgrade runs PREVIOUS_RELAY_PROGRAM, by default the program just built. Configured
-// with MESSAGE_RELAY_PREVIOUS_PROGRAM, these tests play upgrades from an earlier build.
+// with MESSAGE_RELAY_PREVIOUS_PROGRAM, these tests upgrade from an earlier build.
 #include "handover.hpp"
 
 #include <fcntl.h>
@@ -18,168 +18,190 @@
 namespace message_relay::testing {
 namespace {
 
-const char* const kSafe = "load-status";
-const char* const kUnsafe = "pay-and-order";
-const std::string kHello = "heronvane handover 1\n";
+const char* const kReadLikeClass = "load-status";
+const char* const kNonIdempotentClass = "pay-and-order";
+const std::string kGreeting = "heronvane handover 1\n";
 
 class HandoverTest : public RelayTest {
  protected:
   HandoverTest() { program = PREVIOUS_RELAY_PROGRAM; }
   ~HandoverTest() override {
-    if (first > 0) ::kill(first, SIGKILL), ::waitpid(first, nullptr, 0);
+    if (predecessor > 0) {
+      ::kill(predecessor, SIGKILL);
+      ::waitpid(predecessor, nullptr, 0);
+    }
   }
-  // A second process, of the program just built, next to the running one, which becomes `first`.
-  void start_beside() {
-    first = child;
+  // Starts a second process, of the program just built, next to the running one, whose process id moves to
+  // `predecessor`.
+  void start_successor() {
+    predecessor = child;
     program = MESSAGE_RELAY_PROGRAM;
     spawn(config());
   }
-  void wait_first_ends() {
+  void wait_for_predecessor_exit() {
     int status = 0;
-    wait_for([&] { return ::waitpid(first, &status, WNOHANG) == first; }, "the first process ends");
-    first = -1;
+    wait_for([&] { return ::waitpid(predecessor, &status, WNOHANG) == predecessor; },
+             "the predecessor exits");
+    predecessor = -1;
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   }
-  sockaddr_un address() const {
-    sockaddr_un a{};
-    a.sun_family = AF_UNIX;
-    (folder + "/state/handover").copy(a.sun_path, sizeof a.sun_path - 1);
-    return a;
+  sockaddr_un handover_address() const {
+    sockaddr_un socket_address{};
+    socket_address.sun_family = AF_UNIX;
+    (folder + "/state/handover").copy(socket_address.sun_path, sizeof socket_address.sun_path - 1);
+    return socket_address;
   }
-  HandoverChannel ask() {
+  // Connects to the owner and sends the greeting of a process that wants to take over.
+  HandoverChannel request_handover() {
     FileDescriptor socket(::socket(AF_UNIX, SOCK_STREAM, 0));
-    const auto to = address();
-    wait_for([&] { return ::connect(socket.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0; },
-             "the owner can be asked");
+    const auto owner = handover_address();
+    wait_for(
+        [&] { return ::connect(socket.get(), reinterpret_cast<const sockaddr*>(&owner), sizeof owner) == 0; },
+        "the owner accepts a connection");
     HandoverChannel channel(std::move(socket));
-    EXPECT_TRUE(channel.send(kHello));
+    EXPECT_TRUE(channel.send(kGreeting));
     return channel;
   }
-  // Takes all parts, with their descriptors.
-  static std::vector<FileDescriptor> parts(HandoverChannel& channel) {
-    std::vector<FileDescriptor> all;
+  // Receives all records up to the closing "E" and returns the descriptors that came with them.
+  static std::vector<FileDescriptor> receive_descriptors(HandoverChannel& channel) {
+    std::vector<FileDescriptor> descriptors;
     std::string payload;
     for (bool more = true; more && payload != "E";) {
-      FileDescriptor fd;
-      more = channel.receive(payload, fd);
+      FileDescriptor descriptor;
+      more = channel.receive(payload, descriptor);
       EXPECT_TRUE(more);
-      if (fd) all.push_back(std::move(fd));
+      if (descriptor) descriptors.push_back(std::move(descriptor));
     }
-    return all;
+    return descriptors;
   }
 
-  pid_t first = -1;
+  pid_t predecessor = -1;
 };
 
-// All that is handed over comes as it was, with descriptors of the other process's own.
-TEST(Handover, AnEstateComesAsItWas) {
+// The new process receives every field as it was sent, and its own duplicates of the descriptors.
+TEST(Handover, StateArrivesAsSentWithDuplicatedDescriptors) {
   const auto base = std::filesystem::temp_directory_path() / ("handover-test-" + std::to_string(::getpid()));
   std::filesystem::create_directories(base);
   FileDescriptor lock(::open((base / "lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
   ASSERT_EQ(::flock(lock.get(), LOCK_EX | LOCK_NB), 0);
   int pair[2];
   ASSERT_EQ(::socketpair(AF_UNIX, SOCK_STREAM, 0, pair), 0);
-  const FileDescriptor near(pair[0]), far(pair[1]);
+  const FileDescriptor handed_over(pair[0]);
+  const FileDescriptor peer(pair[1]);
 
-  HandoverState given;
-  given.endpoint_list.version = 41, given.list_received = given.paused = true, given.next_message_id = 1234;
-  ListedEndpoint m;
-  m.endpoint.id = "s-1", m.endpoint.destination = 7, m.endpoint.zone = 1, m.endpoint.kind = 2;
-  m.endpoint.status = dispatch::EndpointStatus::draining, m.endpoint.weight = 2.5, m.endpoint.added_at = -9;
-  m.address = read_address("127.0.0.1:8081", "");
-  given.endpoint_list.entries = {m};
-  given.learned_state = std::string(200'000, 'x') + "\n";
-  given.ever_listed = {"s-0", "s-1"}, given.destinations = {7, -8},
-  given.completed_ids = {{55, "m5"}, {66, "m6"}};
-  given.listener = near.get();
-  given.clients = {{near.get(), true, 77}, {near.get(), false, 78}};
+  HandoverState sent;
+  sent.endpoint_list.version = 41;
+  sent.list_received = true;
+  sent.paused = true;
+  sent.next_message_id = 1234;
+  ListedEndpoint listed;
+  listed.endpoint.id = "s-1";
+  listed.endpoint.destination = 7;
+  listed.endpoint.zone = 1;
+  listed.endpoint.kind = 2;
+  listed.endpoint.status = dispatch::EndpointStatus::draining;
+  listed.endpoint.weight = 2.5;
+  listed.endpoint.added_at = -9;
+  listed.address = read_address("127.0.0.1:8081", "");
+  sent.endpoint_list.entries = {listed};
+  sent.learned_state = std::string(200'000, 'x') + "\n";
+  sent.ever_listed = {"s-0", "s-1"};
+  sent.destinations = {7, -8};
+  sent.completed_ids = {{55, "m5"}, {66, "m6"}};
+  sent.listener = handed_over.get();
+  sent.clients = {{handed_over.get(), true, 77}, {handed_over.get(), false, 78}};
   InFlightCall call;
-  call.socket = near.get(), call.endpoint = "s-1", call.address = m.address;
-  call.sent_at = 11, call.response_due = 12, call.response_bytes = std::string("HTTP\0", 5);
+  call.socket = handed_over.get();
+  call.endpoint = "s-1";
+  call.address = listed.address;
+  call.sent_at = 11;
+  call.response_due = 12;
+  call.response_bytes = std::string("HTTP\0", 5);
   call.messages = {{900, 3, 44, "m900", ""}, {901, 0, 45, "m901", ""}};
   call.provisional_outcomes = {std::nullopt, Outcome::cancelled};
-  given.calls = {call};
+  sent.calls = {call};
 
-  StartupOwnership got;
+  StartupOwnership ownership;
   {
     net::io_context io;
-    bool over = false;
-    HandoverListener successors(io, base.string(), [&](HandoverChannel channel) {
-      EXPECT_TRUE(hand_over(channel, given, lock.get()));
-      over = true;
+    bool completed = false;
+    HandoverListener listener(io, base.string(), [&](HandoverChannel channel) {
+      EXPECT_TRUE(hand_over(channel, sent, lock.get()));
+      completed = true;
     });
-    std::thread other([&] { got = acquire_ownership(base.string()); });
-    while (!over) io.run_one();
-    other.join();
+    std::thread successor([&] { ownership = acquire_ownership(base.string()); });
+    while (!completed) io.run_one();
+    successor.join();
   }
-  EXPECT_TRUE(static_cast<bool>(got.lock));
-  ASSERT_TRUE(got.inherited);
-  const HandoverState& e = *got.inherited;
-  EXPECT_EQ(e.endpoint_list.version, 41);
-  EXPECT_TRUE(e.list_received && e.paused);
-  EXPECT_EQ(e.next_message_id, 1234U);
-  ASSERT_EQ(e.endpoint_list.entries.size(), 1U);
-  const auto& x = e.endpoint_list.entries[0].endpoint;
-  EXPECT_EQ(x.id, "s-1");
-  EXPECT_EQ(x.destination, 7);
-  EXPECT_EQ(x.zone, 1);
-  EXPECT_EQ(x.kind, 2);
-  EXPECT_EQ(x.status, dispatch::EndpointStatus::draining);
-  EXPECT_EQ(x.weight, 2.5);
-  EXPECT_EQ(x.added_at, -9);
-  EXPECT_EQ(e.endpoint_list.entries[0].address, m.address);
-  EXPECT_EQ(e.learned_state, given.learned_state);
-  EXPECT_EQ(e.ever_listed, given.ever_listed);
-  EXPECT_EQ(e.destinations, given.destinations);
-  EXPECT_EQ(e.completed_ids, given.completed_ids);
-  ASSERT_EQ(e.clients.size(), 2U);
-  EXPECT_TRUE(e.clients[0].served_before && !e.clients[1].served_before);
-  EXPECT_EQ(e.clients[1].idle_since, 78);
-  ASSERT_EQ(e.calls.size(), 1U);
-  EXPECT_EQ(e.calls[0].endpoint, "s-1");
-  EXPECT_EQ(e.calls[0].address, m.address);
-  EXPECT_EQ(e.calls[0].sent_at, 11);
-  EXPECT_EQ(e.calls[0].response_due, 12);
-  EXPECT_EQ(e.calls[0].response_bytes, call.response_bytes);
-  ASSERT_EQ(e.calls[0].messages.size(), 2U);
-  EXPECT_EQ(e.calls[0].messages[0].id, 900U);
-  EXPECT_EQ(e.calls[0].messages[0].attempt, 3);
-  EXPECT_EQ(e.calls[0].messages[1].timeout, 45);
-  EXPECT_EQ(e.calls[0].messages[1].client_id, "m901");
-  EXPECT_EQ(e.calls[0].provisional_outcomes, call.provisional_outcomes);
-  // Each descriptor is another one of the same socket.
-  std::set<int> all{e.listener, e.clients[0].socket, e.clients[1].socket, e.calls[0].socket, near.get()};
-  EXPECT_EQ(all.size(), 5U);
-  EXPECT_EQ(::write(e.calls[0].socket, "x", 1), 1);
+  EXPECT_TRUE(static_cast<bool>(ownership.lock));
+  ASSERT_TRUE(ownership.inherited);
+  const HandoverState& received = *ownership.inherited;
+  EXPECT_EQ(received.endpoint_list.version, 41);
+  EXPECT_TRUE(received.list_received && received.paused);
+  EXPECT_EQ(received.next_message_id, 1234U);
+  ASSERT_EQ(received.endpoint_list.entries.size(), 1U);
+  const auto& endpoint = received.endpoint_list.entries[0].endpoint;
+  EXPECT_EQ(endpoint.id, "s-1");
+  EXPECT_EQ(endpoint.destination, 7);
+  EXPECT_EQ(endpoint.zone, 1);
+  EXPECT_EQ(endpoint.kind, 2);
+  EXPECT_EQ(endpoint.status, dispatch::EndpointStatus::draining);
+  EXPECT_EQ(endpoint.weight, 2.5);
+  EXPECT_EQ(endpoint.added_at, -9);
+  EXPECT_EQ(received.endpoint_list.entries[0].address, listed.address);
+  EXPECT_EQ(received.learned_state, sent.learned_state);
+  EXPECT_EQ(received.ever_listed, sent.ever_listed);
+  EXPECT_EQ(received.destinations, sent.destinations);
+  EXPECT_EQ(received.completed_ids, sent.completed_ids);
+  ASSERT_EQ(received.clients.size(), 2U);
+  EXPECT_TRUE(received.clients[0].served_before && !received.clients[1].served_before);
+  EXPECT_EQ(received.clients[1].idle_since, 78);
+  ASSERT_EQ(received.calls.size(), 1U);
+  EXPECT_EQ(received.calls[0].endpoint, "s-1");
+  EXPECT_EQ(received.calls[0].address, listed.address);
+  EXPECT_EQ(received.calls[0].sent_at, 11);
+  EXPECT_EQ(received.calls[0].response_due, 12);
+  EXPECT_EQ(received.calls[0].response_bytes, call.response_bytes);
+  ASSERT_EQ(received.calls[0].messages.size(), 2U);
+  EXPECT_EQ(received.calls[0].messages[0].id, 900U);
+  EXPECT_EQ(received.calls[0].messages[0].attempt, 3);
+  EXPECT_EQ(received.calls[0].messages[1].timeout, 45);
+  EXPECT_EQ(received.calls[0].messages[1].client_id, "m901");
+  EXPECT_EQ(received.calls[0].provisional_outcomes, call.provisional_outcomes);
+  // Each descriptor is a separate duplicate and refers to the same socket.
+  std::set<int> sockets{received.listener, received.clients[0].socket, received.clients[1].socket,
+                        received.calls[0].socket, handed_over.get()};
+  EXPECT_EQ(sockets.size(), 5U);
+  EXPECT_EQ(::write(received.calls[0].socket, "x", 1), 1);
   char byte = 0;
-  EXPECT_EQ(::read(far.get(), &byte, 1), 1);
-  all.erase(near.get());
-  for (const int fd : all) ::close(fd);
+  EXPECT_EQ(::read(peer.get(), &byte, 1), 1);
+  sockets.erase(handed_over.get());
+  for (const int socket : sockets) ::close(socket);
   std::filesystem::remove_all(base);
 }
 
-// Calls out, clients' connections, the listening socket and what is held change hands; nothing ends, nothing
-// is sent twice.
-TEST_F(HandoverTest, ASecondProcessGoesOnWithAllThatTheFirstHad) {
+// The successor takes over calls in flight, client connections, the listening socket and the open messages:
+// no connection is closed and no message is sent twice.
+TEST_F(HandoverTest, SuccessorTakesOverCallsConnectionsAndMessages) {
   endpoint.on_request(stay_silent);
   start();
   const auto client = connect();
-  client->write(request("m1", kUnsafe));
-  wait_for([&] { return client->answers.size() == 1 && endpoint.got.size() == 1; }, "a call is out");
-  start_beside();
-  wait_first_ends();
-  client->write(request("m2", kUnsafe));
-  wait_for([&] { return client->answers.size() == 2; }, "the answer on the connection of before");
+  client->write(request("m1", kNonIdempotentClass));
+  wait_for([&] { return client->answers.size() == 1 && endpoint.got.size() == 1; }, "a call is in flight");
+  start_successor();
+  wait_for_predecessor_exit();
+  client->write(request("m2", kNonIdempotentClass));
+  wait_for([&] { return client->answers.size() == 2; }, "the response on the connection opened before");
   EXPECT_EQ(client->answers[1].result_int(), 202U);
-  EXPECT_EQ(hand_in("m1", kUnsafe), 202U);  // it is known here too
+  EXPECT_EQ(hand_in("m1", kNonIdempotentClass), 202U);  // the successor knows its id, too
   wait_for([&] { return endpoint.got.size() == 2; }, "the second call");
   EXPECT_EQ(endpoint.got[1].request["X-Request-Id"], "m2");
   EXPECT_FALSE(endpoint.got[0].session->ended);
   for (const auto& got : std::vector<Got>(endpoint.got)) got.session->answer(200);
   endpoint.on_request(answer_ok);
-  EXPECT_EQ(hand_in("m3", kSafe), 202U);
+  EXPECT_EQ(hand_in("m3", kReadLikeClass), 202U);
   wait_for([&] { return endpoint.got.size() == 3; }, "the third call");
-  EXPECT_EQ(hand_in("m1", kUnsafe), 202U);  // over by now, and still known
+  EXPECT_EQ(hand_in("m1", kNonIdempotentClass), 202U);  // completed by now, and its id is still known
   ::kill(child, SIGTERM);
   EXPECT_EQ(wait_exit(), 0);
   EXPECT_EQ(endpoint.got.size(), 3U);
@@ -187,69 +209,70 @@
   EXPECT_NE(logged().find("stopped: 0 messages left"), std::string::npos);
 }
 
-// An answer of which the first process has read a part is read to its end by the second.
-TEST_F(HandoverTest, AnAnswerInPiecesIsReadOn) {
+// The predecessor has read a part of a response; the successor reads the rest of it.
+TEST_F(HandoverTest, SuccessorReadsTheRestOfAPartialResponse) {
   workers = 1;
-  endpoint.on_request([](const Got& g) { g.session->write("HTTP/1.1 2"); });
+  endpoint.on_request([](const Got& received) { received.session->write("HTTP/1.1 2"); });
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe), 202U);
+  EXPECT_EQ(hand_in("m1", kNonIdempotentClass), 202U);
   wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-  start_beside();
-  wait_first_ends();
+  start_successor();
+  wait_for_predecessor_exit();
   endpoint.got[0].session->write("00 OK\r\nContent-Length: 0\r\n\r\n");
-  EXPECT_EQ(hand_in("m2", kUnsafe), 202U);
-  wait_for([&] { return endpoint.got.size() == 2; }, "its slot is free");
+  EXPECT_EQ(hand_in("m2", kNonIdempotentClass), 202U);
+  wait_for([&] { return endpoint.got.size() == 2; }, "the slot of the first call is free");
   EXPECT_EQ(finals, "");
 }
 
-// A slot that a call of the first process holds is held.
-TEST_F(HandoverTest, ACallOutHoldsItsSlotAcross) {
+// A call that the predecessor sent occupies a slot in the successor, too, until it ends.
+TEST_F(HandoverTest, InheritedCallOccupiesItsSlot) {
   workers = 1;
   endpoint.on_request(stay_silent);
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe, "x", "24000m"), 202U);
+  EXPECT_EQ(hand_in("m1", kNonIdempotentClass, "x", "24000m"), 202U);
   wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-  start_beside();
-  wait_first_ends();
-  EXPECT_EQ(hand_in("m2", kUnsafe, "x", "24000m"), 202U);
-  EXPECT_EQ(hand_in("m3", kUnsafe, "x", "24000m"), 202U);
+  start_successor();
+  wait_for_predecessor_exit();
+  EXPECT_EQ(hand_in("m2", kNonIdempotentClass, "x", "24000m"), 202U);
+  EXPECT_EQ(hand_in("m3", kNonIdempotentClass, "x", "24000m"), 202U);
   EXPECT_EQ(endpoint.got.size(), 1U);
   endpoint.got[0].session->answer(200);
-  wait_for([&] { return endpoint.got.size() == 2; }, "the next call once it has ended");
+  wait_for([&] { return endpoint.got.size() == 2; }, "the next call once the first has ended");
 }
 
-TEST_F(HandoverTest, AToldWaitBindsAcross) {
-  std::chrono::steady_clock::time_point told;
-  endpoint.on_request([&](const Got& g) {
-    told = std::chrono::steady_clock::now();
-    g.session->answer(429, "X-Come-Back-Ms: 1500\r\n");
+TEST_F(HandoverTest, SuccessorHonorsARetryAfterSentToThePredecessor) {
+  std::chrono::steady_clock::time_point rejected_at;
+  endpoint.on_request([&](const Got& received) {
+    rejected_at = std::chrono::steady_clock::now();
+    received.session->answer(429, "X-Come-Back-Ms: 1500\r\n");
   });
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe, "x", "24000m"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call that is told to wait");
-  const auto until = told + std::chrono::milliseconds(1500);
+  EXPECT_EQ(hand_in("m1", kNonIdempotentClass, "x", "24000m"), 202U);
+  wait_for([&] { return endpoint.got.size() == 1; }, "the call that is rejected");
+  const auto earliest_retry = rejected_at + std::chrono::milliseconds(1500);
   endpoint.on_request(answer_ok);
-  EXPECT_EQ(hand_in("m2", kUnsafe, "x", "24000m"), 202U);
-  start_beside();
-  wait_first_ends();
-  EXPECT_EQ(hand_in("m3", kUnsafe, "x", "24000m"), 202U);
+  EXPECT_EQ(hand_in("m2", kNonIdempotentClass, "x", "24000m"), 202U);
+  start_successor();
+  wait_for_predecessor_exit();
+  EXPECT_EQ(hand_in("m3", kNonIdempotentClass, "x", "24000m"), 202U);
   wait_for([&] { return endpoint.got.size() == 2; }, "the next call");
-  EXPECT_GE(std::chrono::steady_clock::now(), until);
+  EXPECT_GE(std::chrono::steady_clock::now(), earliest_retry);
 }
 
-// Whatever the step at which the one that asks leaves, the owner goes on, and nothing is lost or sent twice.
-TEST_F(HandoverTest, AnAskerThatLeavesAtAnyStepChangesNothing) {
+// The requesting process disconnects at each step of the protocol: the owner keeps serving, and no message is
+// lost or sent twice.
+TEST_F(HandoverTest, OwnerKeepsServingWhenTheRequesterDisconnects) {
   endpoint.on_request(stay_silent);
   start();
   const auto client = connect();
-  client->write(request("m0", kUnsafe, "x", "24000m"));
-  wait_for([&] { return endpoint.got.size() == 1; }, "a call is out");
+  client->write(request("m0", kNonIdempotentClass, "x", "24000m"));
+  wait_for([&] { return endpoint.got.size() == 1; }, "a call is in flight");
   for (int step = 0; step < 4; step++) {
     {
-      HandoverChannel channel = ask();
+      HandoverChannel channel = request_handover();
       if (step >= 1) {
-        const auto descriptors = parts(channel);
-        EXPECT_GE(descriptors.size(), 4U);  // the lock, the listening socket, the client, the call
+        const auto descriptors = receive_descriptors(channel);
+        EXPECT_GE(descriptors.size(), 4U);  // lock, listening socket, client and call
         if (step >= 2) {
           EXPECT_TRUE(channel.send("ready"));
         }
@@ -258,26 +281,27 @@
         }
       }
     }
-    client->write(request("m" + std::to_string(step + 1), kUnsafe, "x", "24000m"));
-    const auto answers = static_cast<std::size_t>(step) + 2;
-    wait_for([&] { return client->answers.size() == answers; }, "the answer of the owner");
+    client->write(request("m" + std::to_string(step + 1), kNonIdempotentClass, "x", "24000m"));
+    const auto expected_responses = static_cast<std::size_t>(step) + 2;
+    wait_for([&] { return client->answers.size() == expected_responses; }, "the response of the owner");
     EXPECT_EQ(client->answers.back().result_int(), 202U);
   }
   for (const auto& got : std::vector<Got>(endpoint.got)) got.session->answer(200);
   endpoint.on_request(answer_ok);
-  wait_for([&] { return endpoint.got.size() == 5; }, "one call each");
+  wait_for([&] { return endpoint.got.size() == 5; }, "one call for each message");
   EXPECT_EQ(health(), 200U);
   EXPECT_EQ(finals, "");
 }
 
-// Whatever the step at which the owner is killed, the one that asks starts as after any restart.
-TEST_F(HandoverTest, AnOwnerThatIsKilledAtAnyStepLeavesTheFolder) {
-  program = MESSAGE_RELAY_PROGRAM;  // here the test plays the owner, and the program asks
+// The owner dies at each step of the protocol: the requesting process takes ownership of the folder and
+// starts as after any restart.
+TEST_F(HandoverTest, RequesterStartsNormallyWhenTheOwnerDies) {
+  program = MESSAGE_RELAY_PROGRAM;  // the test plays the owner, the program requests the handover
   for (int step = 0; step < 4; step++) {
     FileDescriptor listening(::socket(AF_UNIX, SOCK_STREAM, 0));
-    const auto at = address();
-    ::unlink(at.sun_path);
-    ASSERT_EQ(::bind(listening.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
+    const auto owner = handover_address();
+    ::unlink(owner.sun_path);
+    ASSERT_EQ(::bind(listening.get(), reinterpret_cast<const sockaddr*>(&owner), sizeof owner), 0);
     ASSERT_EQ(::listen(listening.get(), 1), 0);
     {
       FileDescriptor lock(::open((folder + "/state/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
@@ -285,7 +309,7 @@
       members = member("s-1", endpoint.address());
       spawn(config());
       HandoverChannel channel(FileDescriptor(::accept(listening.get(), nullptr, nullptr)));
-      EXPECT_TRUE(channel.receive_exactly(kHello));
+      EXPECT_TRUE(channel.receive_exactly(kGreeting));
       if (step >= 1) {
         EXPECT_TRUE(channel.send("K", lock.get()));
       }
@@ -297,54 +321,57 @@
       }
       listening = FileDescriptor();
     }
-    wait_for([&] { return health() == 200; }, "it is ready");
-    EXPECT_EQ(hand_in("m" + std::to_string(step), kSafe), 202U);
+    wait_for([&] { return health() == 200; }, "the relay is ready");
+    EXPECT_EQ(hand_in("m" + std::to_string(step), kReadLikeClass), 202U);
     wait_for([&] { return endpoint.got.size() == static_cast<std::size_t>(step) + 1; }, "the call");
-    // An orderly end: a process killed here may not have read the response, and the next one repeats the
-    // call.
+    // SIGTERM, not SIGKILL: a process killed here may not have read the response, and the next process would
+    // repeat the call.
     ::kill(child, SIGTERM);
     EXPECT_EQ(wait_exit(), 0);
   }
 }
 
-// A process that stands still hands nothing over; the next one takes up what it held once it has ended, and a
-// call that was out may have run.
-TEST_F(HandoverTest, AnOwnerThatIsStuckIsWaitedFor) {
+// A stopped process hands nothing over. Once it has exited, the next process recovers its messages; a call
+// that was in flight may have been executed, so a non-idempotent message is not sent again.
+TEST_F(HandoverTest, SuccessorWaitsUntilAStoppedOwnerExits) {
   endpoint.on_request(stay_silent);
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe), 202U);
-  EXPECT_EQ(hand_in("m2", kSafe), 202U);
+  EXPECT_EQ(hand_in("m1", kNonIdempotentClass), 202U);
+  EXPECT_EQ(hand_in("m2", kReadLikeClass), 202U);
   wait_for([&] { return endpoint.got.size() == 2; }, "both calls");
   ::kill(child, SIGSTOP);
-  start_beside();
-  ::kill(first, SIGKILL);
-  wait_for([&] { return ::waitpid(first, nullptr, WNOHANG) == first; }, "its end");
-  first = -1;
-  wait_for([&] { return health() == 200; }, "the next one is ready");
-  wait_for([&] { return endpoint.got.size() == 3 && !finals.empty(); }, "what was held goes on");
+  start_successor();
+  ::kill(predecessor, SIGKILL);
+  wait_for([&] { return ::waitpid(predecessor, nullptr, WNOHANG) == predecessor; }, "the predecessor exits");
+  predecessor = -1;
+  wait_for([&] { return health() == 200; }, "the successor is ready");
+  wait_for([&] { return endpoint.got.size() == 3 && !finals.empty(); },
+           "the recovered messages are processed");
   EXPECT_EQ(endpoint.got[2].request["X-Request-Id"], "m2");
   EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
 }
 
-// Many in a row, and clients that hand in all the while: each message is delivered once.
+// Clients submit messages during four consecutive upgrades: each message is delivered once.
 TEST_F(HandoverTest, UpgradesInARowUnderLoadLoseNothing) {
   start();
-  std::size_t handed = 0;
-  for (int round = 0; round < 4; round++) {
-    start_beside();
-    while (first > 0) {
-      handed++;
-      EXPECT_EQ(hand_in("m" + std::to_string(handed), handed % 2 ? kSafe : kUnsafe), 202U);
-      if (::waitpid(first, nullptr, WNOHANG) == first) first = -1;
+  std::size_t submitted = 0;
+  for (int upgrade = 0; upgrade < 4; upgrade++) {
+    start_successor();
+    while (predecessor > 0) {
+      submitted++;
+      EXPECT_EQ(
+          hand_in("m" + std::to_string(submitted), submitted % 2 ? kReadLikeClass : kNonIdempotentClass),
+          202U);
+      if (::waitpid(predecessor, nullptr, WNOHANG) == predecessor) predecessor = -1;
     }
   }
-  wait_for([&] { return endpoint.got.size() >= handed; }, "every call");
+  wait_for([&] { return endpoint.got.size() >= submitted; }, "every call");
   ::kill(child, SIGTERM);
   EXPECT_EQ(wait_exit(), 0);
   std::set<std::string> ids;
   for (const auto& got : endpoint.got) ids.insert(std::string(got.request["X-Request-Id"]));
-  for (std::size_t i = 1; i <= handed; i++) EXPECT_EQ(ids.count("m" + std::to_string(i)), 1U) << "m" << i;
-  EXPECT_EQ(endpoint.got.size(), handed);
+  for (std::size_t i = 1; i <= submitted; i++) EXPECT_EQ(ids.count("m" + std::to_string(i)), 1U) << "m" << i;
+  EXPECT_EQ(endpoint.got.size(), submitted);
   EXPECT_EQ(finals, "");
 }
 
--- a/tests/operator_server_test.cpp
+++ b/tests/operator_server_test.cpp
@@ -1,4 +1,4 @@
-// The operators' entry: its lines by themselves, then the whole relay over loopback sockets.
+// The operators' server: the parser of command lines by itself, then the whole relay over loopback sockets.
 #include "operator_server.hpp"
 
 #include "relay_harness.hpp"
@@ -6,211 +6,223 @@
 namespace message_relay::testing {
 namespace {
 
-const char* const kSafe = "load-status";
-const char* const kUnsafe = "pay-and-order";
+const char* const kReadLikeClass = "load-status";
+const char* const kNonIdempotentClass = "pay-and-order";
 
-TEST(OperatorLine, IsReadOrTurnedDownWithTheReason) {
+TEST(OperatorCommandTest, IsParsedOrRejectedWithAReason) {
   EXPECT_EQ(parse_command("STATUS").problem, "");
   EXPECT_EQ(parse_command("STATUS\r").problem, "");
   EXPECT_EQ(parse_command("SUSPEND s-1").command.verb, OperatorVerb::suspend);
   EXPECT_EQ(parse_command("RESTORE s-1\r").command.endpoint, "s-1");
-  for (const char* bad :
+  for (const char* malformed :
        {"", " ", "status", "SUSPEND", "SUSPEND ", "RESTORE a b", "PAUSE now", "STATUS ", "\x01"})
-    EXPECT_NE(parse_command(bad).problem, "") << bad;
+    EXPECT_NE(parse_command(malformed).problem, "") << malformed;
 }
 
-class OperatorsTest : public RelayTest {
+class OperatorServerTest : public RelayTest {
  protected:
-  OperatorsTest() {
+  OperatorServerTest() {
     tcp::acceptor probe(io, {net::ip::make_address(own_address()), 0});
     operator_port = probe.local_endpoint().port();
     more = R"(,"operator":")" + own_address() + ":" + std::to_string(operator_port) + R"(")";
   }
-  struct Caller {
-    explicit Caller(net::io_context& io) : socket(io) {}
+  // A connection of an operator, and what the relay has sent on it.
+  struct OperatorConnection {
+    explicit OperatorConnection(net::io_context& io) : socket(io) {}
     tcp::socket socket;
     std::string reply;
-    bool over = false;
+    bool closed = false;
   };
-  std::shared_ptr<Caller> call(const std::string& bytes, bool end_sending = false) {
-    const auto caller = std::make_shared<Caller>(io);
-    error_code bad;
-    caller->socket.connect({net::ip::make_address(own_address()), operator_port}, bad);
-    if (!bad) net::write(caller->socket, net::buffer(bytes), bad);
-    if (end_sending) caller->socket.shutdown(tcp::socket::shutdown_send, bad);
-    net::async_read(caller->socket, net::dynamic_buffer(caller->reply),
-                    [caller](error_code, std::size_t) { caller->over = true; });
-    return caller;
+  std::shared_ptr<OperatorConnection> open_connection(const std::string& bytes, bool end_sending = false) {
+    const auto connection = std::make_shared<OperatorConnection>(io);
+    error_code error;
+    connection->socket.connect({net::ip::make_address(own_address()), operator_port}, error);
+    if (!error) net::write(connection->socket, net::buffer(bytes), error);
+    if (end_sending) connection->socket.shutdown(tcp::socket::shutdown_send, error);
+    net::async_read(connection->socket, net::dynamic_buffer(connection->reply),
+                    [connection](error_code, std::size_t) { connection->closed = true; });
+    return connection;
   }
-  std::string operate(const std::string& bytes, bool end_sending = false) {
-    const auto caller = call(bytes, end_sending);
-    wait_for([&] { return caller->over; }, "the reply");
-    return caller->reply;
+  // Sends the bytes on a connection of their own and returns the reply.
+  std::string run_command(const std::string& bytes, bool end_sending = false) {
+    const auto connection = open_connection(bytes, end_sending);
+    wait_for([&] { return connection->closed; }, "the reply");
+    return connection->reply;
   }
-  static bool yes(const std::string& reply) {
+  static bool is_ok(const std::string& reply) {
     return reply.starts_with("OK") && reply.find('\n') == reply.size() - 1;
   }
-  static bool no(const std::string& reply) {
+  static bool is_error(const std::string& reply) {
     return reply.starts_with("ERR ") && reply.find('\n') == reply.size() - 1;
   }
-  bool figure(const std::string& line) {
-    return operate("METRICS\n").find("svc." + line + "\n") != std::string::npos;
+  bool has_metric(const std::string& name_and_value) {
+    return run_command("METRICS\n").find("svc." + name_and_value + "\n") != std::string::npos;
   }
 
   std::uint16_t operator_port = 0;
 };
 
-TEST_F(OperatorsTest, RepliesToEachCallAndTurnsOthersDown) {
+TEST_F(OperatorServerTest, RepliesToEachCommandAndRejectsMalformedOnes) {
   start();
-  EXPECT_TRUE(yes(operate("STATUS\n")));
-  EXPECT_TRUE(yes(operate("STATUS\r\n")));
-  for (const std::string bad :
+  EXPECT_TRUE(is_ok(run_command("STATUS\n")));
+  EXPECT_TRUE(is_ok(run_command("STATUS\r\n")));
+  for (const std::string invalid :
        {"NONSENSE\n", "\n", "SUSPEND\n", "SUSPEND never-listed\n", "RESTORE never-listed\n"})
-    EXPECT_TRUE(no(operate(bad))) << bad;
-  EXPECT_TRUE(no(operate(std::string(5000, 'x'))));
-  EXPECT_TRUE(no(operate("STATU", true)));  // half a line, however much of a call it may be
-  EXPECT_TRUE(no(operate("STATUS", true)));
+    EXPECT_TRUE(is_error(run_command(invalid))) << invalid;
+  EXPECT_TRUE(is_error(run_command(std::string(5000, 'x'))));
+  // A line without its line feed is no command, whether its text is a part of one or a whole one.
+  EXPECT_TRUE(is_error(run_command("STATU", true)));
+  EXPECT_TRUE(is_error(run_command("STATUS", true)));
 }
 
-// Those that say nothing, or half a line, hold up nobody, also where they are more than the entry has room
-// for.
-TEST_F(OperatorsTest, SilentCallersHoldUpNoOther) {
+// Connections that send nothing, or half a line, delay no other command, even if they are more than the
+// server accepts at a time.
+TEST_F(OperatorServerTest, SilentConnectionsDoNotDelayOthers) {
   start();
-  std::vector<std::shared_ptr<Caller>> silent;
+  std::vector<std::shared_ptr<OperatorConnection>> silent;
   for (int i = 0; i < 40; i++) {
-    silent.push_back(call(i % 2 ? "" : "STAT"));
-    EXPECT_TRUE(yes(operate("STATUS\n")));
+    silent.push_back(open_connection(i % 2 ? "" : "STAT"));
+    EXPECT_TRUE(is_ok(run_command("STATUS\n")));
   }
-  EXPECT_FALSE(silent.back()->over);
-  // One that completes its line late is answered too.
+  EXPECT_FALSE(silent.back()->closed);
+  // A connection that completes its line late receives a reply, too.
   net::write(silent[38]->socket, net::buffer(std::string("US\n")));
-  wait_for([&] { return silent[38]->over; }, "its reply");
-  EXPECT_TRUE(yes(silent[38]->reply));
+  wait_for([&] { return silent[38]->closed; }, "the reply to the late line");
+  EXPECT_TRUE(is_ok(silent[38]->reply));
 }
 
-// Clients that take all the room they are given leave the operators theirs.
-TEST_F(OperatorsTest, ClientsDoNotTakeTheOperatorsRoom) {
+// Clients that use up all client connections do not use up those of the operators.
+TEST_F(OperatorServerTest, ClientConnectionsDoNotBlockOperators) {
   start();
   for (int i = 0; i < 300; i++) {
     const auto client = connect();
     if (client) client->write("POST /load-status HT");
   }
-  EXPECT_TRUE(yes(operate("STATUS\n")));
+  EXPECT_TRUE(is_ok(run_command("STATUS\n")));
 }
 
-TEST_F(OperatorsTest, WithoutItsAddressTheRelayRunsAsBefore) {
+TEST_F(OperatorServerTest, TheRelayRunsWithoutAnOperatorAddress) {
   more.clear();
   start();
-  EXPECT_EQ(hand_in("m1", kSafe), 202U);
+  EXPECT_EQ(hand_in("m1", kReadLikeClass), 202U);
 }
 
-TEST_F(OperatorsTest, FiguresStartAtNothingAndCountEachEndOnce) {
+TEST_F(OperatorServerTest, MetricsStartAtZeroAndCountEachOutcomeOnce) {
   start();
-  const std::string first = operate("METRICS\n");
-  for (const std::string cls : {kSafe, kUnsafe})
+  const std::string initial_metrics = run_command("METRICS\n");
+  for (const std::string message_class : {kReadLikeClass, kNonIdempotentClass})
     for (const std::string name : {"succeeded", "declined", "aborted"})
-      EXPECT_NE(first.find("svc." + name + "." + cls + "=0\n"), std::string::npos) << name;
-  EXPECT_TRUE(first.ends_with("\nEND\n"));
-  EXPECT_TRUE(figure("discovered=1"));
-  EXPECT_EQ(hand_in("m1", kSafe), 202U);
+      EXPECT_NE(initial_metrics.find("svc." + name + "." + message_class + "=0\n"), std::string::npos)
+          << name;
+  EXPECT_TRUE(initial_metrics.ends_with("\nEND\n"));
+  EXPECT_TRUE(has_metric("discovered=1"));
+  EXPECT_EQ(hand_in("m1", kReadLikeClass), 202U);
   wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-  wait_for([&] { return figure("outstanding=0"); }, "its end");
-  EXPECT_TRUE(figure(std::string("succeeded.") + kSafe + "=1"));
-  EXPECT_TRUE(figure("forwards=1"));
-  endpoint.on_request([](const Got& g) { g.session->close(); });
-  EXPECT_EQ(hand_in("m2", kUnsafe), 202U);
-  wait_for([&] { return figure(std::string("aborted.") + kUnsafe + "=1"); }, "the failure is counted");
-  EXPECT_TRUE(figure("forwards=2"));
-  EXPECT_TRUE(figure(std::string("succeeded.") + kUnsafe + "=0"));
+  wait_for([&] { return has_metric("outstanding=0"); }, "the end of the message");
+  EXPECT_TRUE(has_metric(std::string("succeeded.") + kReadLikeClass + "=1"));
+  EXPECT_TRUE(has_metric("forwards=1"));
+  endpoint.on_request([](const Got& received) { received.session->close(); });
+  EXPECT_EQ(hand_in("m2", kNonIdempotentClass), 202U);
+  wait_for([&] { return has_metric(std::string("aborted.") + kNonIdempotentClass + "=1"); },
+           "the failure is counted");
+  EXPECT_TRUE(has_metric("forwards=2"));
+  EXPECT_TRUE(has_metric(std::string("succeeded.") + kNonIdempotentClass + "=0"));
 }
 
-TEST_F(OperatorsTest, WhatIsRefusedAtTheDoorIsDeclined) {
+TEST_F(OperatorServerTest, MessagesRejectedOnArrivalCountAsDeclined) {
   endpoint.on_request(stay_silent);
   start();
-  int refused = 0;
-  for (int i = 0; i < 60; i++) refused += hand_in("m" + std::to_string(i), kUnsafe, "x", "24000m") == 503;
-  wait_for([&] { return figure(std::string("declined.") + kUnsafe + "=" + std::to_string(refused)); },
-           "the count");
-  EXPECT_TRUE(figure("outstanding=" + std::to_string(60 - refused)));
+  int rejected = 0;
+  for (int i = 0; i < 60; i++)
+    rejected += hand_in("m" + std::to_string(i), kNonIdempotentClass, "x", "24000m") == 503;
+  wait_for(
+      [&] {
+        return has_metric(std::string("declined.") + kNonIdempotentClass + "=" + std::to_string(rejected));
+      },
+      "the metric");
+  EXPECT_TRUE(has_metric("outstanding=" + std::to_string(60 - rejected)));
 }
 
-// Left out whatever discovery says of it, across the end of the process, until it is called back.
-TEST_F(OperatorsTest, ASuspendedEndpointGetsNothingUntilItIsRestored) {
+// A suspended endpoint receives no calls, whatever discovery says of it and across a restart of the process,
+// until an operator restores it.
+TEST_F(OperatorServerTest, ASuspendedEndpointReceivesNoCallsUntilRestored) {
   Server other(io, answer_ok);
   members = member("s-1", endpoint.address()) + "," + member("s-2", other.address());
   start();
-  EXPECT_TRUE(yes(operate("SUSPEND s-1\n")));
-  EXPECT_TRUE(yes(operate("SUSPEND s-1\n")));
-  EXPECT_TRUE(figure("ejected=1"));
-  std::size_t handed = 0;
-  const auto hand_in_some = [&] {
-    for (int i = 0; i < 12; i++, handed++) EXPECT_EQ(hand_in("m" + std::to_string(handed), kSafe), 202U);
-    wait_for([&] { return other.got.size() + endpoint.got.size() == handed; }, "the calls");
+  EXPECT_TRUE(is_ok(run_command("SUSPEND s-1\n")));
+  EXPECT_TRUE(is_ok(run_command("SUSPEND s-1\n")));
+  EXPECT_TRUE(has_metric("ejected=1"));
+  std::size_t submitted = 0;
+  const auto submit_and_wait = [&] {
+    for (int i = 0; i < 12; i++, submitted++)
+      EXPECT_EQ(hand_in("m" + std::to_string(submitted), kReadLikeClass), 202U);
+    wait_for([&] { return other.got.size() + endpoint.got.size() == submitted; }, "the calls");
   };
-  hand_in_some();
+  submit_and_wait();
   tell(list(member("s-1", endpoint.address(), "draining"), false));
   tell(list(members));
-  hand_in_some();
+  submit_and_wait();
   kill_relay();
   start();
-  EXPECT_TRUE(figure("ejected=1"));
-  hand_in_some();
+  EXPECT_TRUE(has_metric("ejected=1"));
+  submit_and_wait();
   EXPECT_EQ(endpoint.got.size(), 0U);
-  EXPECT_TRUE(yes(operate("RESTORE s-1\n")));
-  EXPECT_TRUE(yes(operate("RESTORE s-1\n")));
-  EXPECT_TRUE(figure("ejected=0"));
-  EXPECT_TRUE(yes(operate("SUSPEND s-2\n")));
-  EXPECT_EQ(hand_in("last", kSafe), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call to the one that is back");
+  EXPECT_TRUE(is_ok(run_command("RESTORE s-1\n")));
+  EXPECT_TRUE(is_ok(run_command("RESTORE s-1\n")));
+  EXPECT_TRUE(has_metric("ejected=0"));
+  EXPECT_TRUE(is_ok(run_command("SUSPEND s-2\n")));
+  EXPECT_EQ(hand_in("last", kReadLikeClass), 202U);
+  wait_for([&] { return endpoint.got.size() == 1; }, "the call to the restored endpoint");
   kill_relay();
   start();
-  EXPECT_TRUE(figure("ejected=1"));
+  EXPECT_TRUE(has_metric("ejected=1"));
 }
 
-// A message whose call failed and waits to be sent again does not go there once its endpoint is suspended.
-TEST_F(OperatorsTest, ARetryThatIsDueDoesNotGoToASuspendedEndpoint) {
-  endpoint.on_request([](const Got& g) { g.session->answer(503); });
+// A message whose call failed waits for its retry when its endpoint is suspended: the retry goes to another
+// one.
+TEST_F(OperatorServerTest, APendingRetryDoesNotGoToASuspendedEndpoint) {
+  endpoint.on_request([](const Got& received) { received.session->answer(503); });
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe, "x", "24000m"), 202U);
+  EXPECT_EQ(hand_in("m1", kNonIdempotentClass, "x", "24000m"), 202U);
   wait_for([&] { return endpoint.got.size() == 1; }, "the first call");
-  EXPECT_TRUE(yes(operate("SUSPEND s-1\n")));
-  const auto calls = endpoint.got.size();
+  EXPECT_TRUE(is_ok(run_command("SUSPEND s-1\n")));
+  const auto calls_before = endpoint.got.size();
   Server other(io, answer_ok);
   tell(list(member("s-2", other.address()), false));
-  wait_for([&] { return !other.got.empty(); }, "the retry goes elsewhere");
-  EXPECT_EQ(endpoint.got.size(), calls);
+  wait_for([&] { return !other.got.empty(); }, "the retry to the other endpoint");
+  EXPECT_EQ(endpoint.got.size(), calls_before);
 }
 
-TEST_F(OperatorsTest, PauseSendsClientsAwayUntilResume) {
+TEST_F(OperatorServerTest, PauseClosesClientConnectionsUntilResume) {
   endpoint.on_request(stay_silent);
   start();
   const auto idle = connect();
-  idle->write(request("m1", kSafe));
-  wait_for([&] { return idle->answers.size() == 1; }, "the answer");
-  const auto half = connect();
-  const std::string whole = request("m2", kSafe);
-  half->write(whole.substr(0, 40));
-  EXPECT_EQ(hand_in("m3", kSafe), 202U);  // by now half of m2 has been read
-  EXPECT_TRUE(yes(operate("PAUSE\n")));
-  EXPECT_TRUE(yes(operate("PAUSE\n")));
+  idle->write(request("m1", kReadLikeClass));
+  wait_for([&] { return idle->answers.size() == 1; }, "the response");
+  const auto unfinished = connect();
+  const std::string whole = request("m2", kReadLikeClass);
+  unfinished->write(whole.substr(0, 40));
+  EXPECT_EQ(hand_in("m3", kReadLikeClass), 202U);  // the relay has read the first part of m2 by now
+  EXPECT_TRUE(is_ok(run_command("PAUSE\n")));
+  EXPECT_TRUE(is_ok(run_command("PAUSE\n")));
   wait_for([&] { return idle->ended; }, "the idle connection closes");
   EXPECT_EQ(health(), 503U);
-  EXPECT_TRUE(no(operate("STATUS\n")));
-  half->write(whole.substr(40));
-  wait_for([&] { return half->ended; }, "the one with a request closes after its answer");
-  ASSERT_EQ(half->answers.size(), 1U);
-  EXPECT_EQ(half->answers[0].result_int(), 202U);
-  EXPECT_EQ(hand_in("m4", kSafe), 202U);  // a new one is still answered
-  wait_for([&] { return endpoint.got.size() == 4; }, "held messages go on");
-  EXPECT_TRUE(yes(operate("RESUME\n")));
-  EXPECT_TRUE(yes(operate("RESUME\n")));
+  EXPECT_TRUE(is_error(run_command("STATUS\n")));
+  unfinished->write(whole.substr(40));
+  wait_for([&] { return unfinished->ended; }, "the unfinished connection closes after its response");
+  ASSERT_EQ(unfinished->answers.size(), 1U);
+  EXPECT_EQ(unfinished->answers[0].result_int(), 202U);
+  EXPECT_EQ(hand_in("m4", kReadLikeClass), 202U);  // a new connection is still served
+  wait_for([&] { return endpoint.got.size() == 4; }, "calls for the accepted messages");
+  EXPECT_TRUE(is_ok(run_command("RESUME\n")));
+  EXPECT_TRUE(is_ok(run_command("RESUME\n")));
   EXPECT_EQ(health(), 200U);
-  EXPECT_TRUE(yes(operate("STATUS\n")));
-  const auto kept = connect();
-  kept->write(request("m5", kSafe));
-  wait_for([&] { return kept->answers.size() == 1; }, "the answer");
-  kept->write(request("m6", kSafe));
-  wait_for([&] { return kept->answers.size() == 2; }, "the answer on the same connection");
+  EXPECT_TRUE(is_ok(run_command("STATUS\n")));
+  const auto reused = connect();
+  reused->write(request("m5", kReadLikeClass));
+  wait_for([&] { return reused->answers.size() == 1; }, "the response");
+  reused->write(request("m6", kReadLikeClass));
+  wait_for([&] { return reused->answers.size() == 2; }, "the response on the same connection");
 }
 
 }  // namespace
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,5 +1,5 @@
-// The discovery client and the sender of final notices against a fake agent, then the program started with a
-// cached endpoint list.
+// The discovery client and the sender of final notices against a fake platform agent, and the program started
+// with a cached endpoint list.
 #include "platform.hpp"
 
 #include "json_stream_splitter.hpp"
@@ -10,23 +10,24 @@
 
 using dispatch::event::SubscriptionLossReason;
 
-TEST(JsonStreamSplitterTest, ReturnsCompleteValuesHoweverTheyAreBroken) {
-  const std::string first = "{\n  \"a\": \"}{ \\\" \\\\\",\n  \"b\": [\n    {}\n  ]\n}", second = "[1,[2]]";
+TEST(JsonStreamSplitterTest, ReturnsCompleteValuesForEveryPieceSize) {
+  const std::string first = "{\n  \"a\": \"}{ \\\" \\\\\",\n  \"b\": [\n    {}\n  ]\n}";
+  const std::string second = "[1,[2]]";
   const std::string all = "\n \r\n" + first + "\n\n\t" + second + "\n";
   for (std::size_t size = 1; size <= all.size(); size++) {
     JsonStreamSplitter stream;
-    std::vector<std::string> got;
+    std::vector<std::string> values;
     for (std::size_t at = 0; at < all.size(); at += size) {
       stream.append(all.substr(at, size));
-      while (const auto one = stream.next()) got.push_back(*one);
+      while (const auto value = stream.next()) values.push_back(*value);
     }
-    EXPECT_EQ(got, (std::vector<std::string>{first, second})) << "in pieces of " << size;
+    EXPECT_EQ(values, (std::vector<std::string>{first, second})) << "in pieces of " << size;
     EXPECT_FALSE(stream.malformed());
-    EXPECT_EQ(stream.buffered_bytes(), 0U) << "empty lines are not kept";
+    EXPECT_EQ(stream.buffered_bytes(), 0U) << "white space between values is not buffered";
   }
 }
 
-TEST(JsonStreamSplitterTest, ReportsAtOnceWhatBeginsNoValue) {
+TEST(JsonStreamSplitterTest, ReportsTextThatStartsNoValueImmediately) {
   JsonStreamSplitter stream;
   stream.append("{} what");
   EXPECT_TRUE(stream.next());
@@ -34,37 +35,40 @@
   EXPECT_TRUE(stream.malformed());
 }
 
+// Encodes the text as one chunk of a chunked body.
 std::string chunk(const std::string& text) {
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   return size + text + "\r\n";
 }
-const std::string kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const std::string kChunkedResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-tcp::endpoint where(const Server& server) { return read_address(server.address(), "test"); }
+tcp::endpoint address_of(const Server& server) { return read_address(server.address(), "test"); }
 
 class PlatformTest : public ::testing::Test {
  protected:
-  PlatformTest() : agent(io, [this](const Got& g) { asked.push_back(g); }) {}
-  void begin(std::chrono::microseconds answer, std::chrono::microseconds silent,
-             std::chrono::microseconds notice = kLong) {
+  PlatformTest() : agent(io, [this](const Got& received) { requests.push_back(received); }) {}
+  void start_watch(std::chrono::microseconds list_response, std::chrono::microseconds watch_silence,
+                   std::chrono::microseconds notice_response = kLongTimeout) {
     platform.emplace(
-        io, where(agent), names, PlatformTimeouts{answer, silent, notice}, 41,
-        [this](EndpointList list) { lists.push_back(std::move(list)); },
-        [this](SubscriptionLossReason why) { lost.push_back(why); }, [](const std::vector<MessageId>&) {});
+        io, address_of(agent), names, PlatformTimeouts{list_response, watch_silence, notice_response}, 41,
+        [this](EndpointList received) { lists.push_back(std::move(received)); },
+        [this](SubscriptionLossReason reason) { losses.push_back(reason); },
+        [](const std::vector<MessageId>&) {});
     platform->watch();
   }
   template <class Condition>
   void wait_for(Condition condition, const char* what) {
     const auto until = std::chrono::steady_clock::now() + kPatience;
     while (!condition()) {
-      ASSERT_LT(std::chrono::steady_clock::now(), until) << "waited in vain until " << what;
+      ASSERT_LT(std::chrono::steady_clock::now(), until) << "timed out waiting for " << what;
       io.restart();
       io.run_one_for(std::chrono::milliseconds(5));
     }
   }
-  static std::string list(int index) {
-    return "{\n  \"index\": " + std::to_string(index) +
+  // A list with line breaks within the JSON value.
+  static std::string indented_list(int version) {
+    return "{\n  \"index\": " + std::to_string(version) +
            ",\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      "
            "\"address\": "
            "\"127.0.0.1:1\",\n      \"group\": 7,\n      \"status\": \"draining\"\n    }\n  ]\n}\n";
@@ -72,197 +76,205 @@
 
   net::io_context io;
   Server agent;
-  std::vector<Got> asked;
+  std::vector<Got> requests;  // that the agent received
   configuration::SettingNames names;
   std::vector<EndpointList> lists;
-  std::vector<SubscriptionLossReason> lost;
+  std::vector<SubscriptionLossReason> losses;
   std::optional<Platform> platform;
-  static constexpr std::chrono::microseconds kLong = std::chrono::seconds(300), kShort{20'000};
+  static constexpr std::chrono::microseconds kLongTimeout = std::chrono::seconds(300);
+  static constexpr std::chrono::microseconds kShortTimeout{20'000};
 };
 
-// Read line by line, the first line of an indented list would end the watch.
-TEST_F(PlatformTest, IndentedListsAreRead) {
-  begin(kLong, kLong);
-  wait_for([&] { return asked.size() == 1; }, "the watch");
-  const std::string two = "\n" + list(42) + "\n" + list(43) + "\n";
-  asked[0].session->write(kHead + chunk(two.substr(0, 60)));
-  asked[0].session->write(chunk(two.substr(60)));
-  wait_for([&] { return lists.size() == 2 || !lost.empty(); }, "both lists");
-  EXPECT_TRUE(lost.empty());
+// A list is a JSON value that may span lines. If the stream were read line by line, the first line of an
+// indented list would be malformed and end the watch.
+TEST_F(PlatformTest, ListsThatSpanLinesAreRead) {
+  start_watch(kLongTimeout, kLongTimeout);
+  wait_for([&] { return requests.size() == 1; }, "the watch");
+  const std::string both_lists = "\n" + indented_list(42) + "\n" + indented_list(43) + "\n";
+  requests[0].session->write(kChunkedResponseHead + chunk(both_lists.substr(0, 60)));
+  requests[0].session->write(chunk(both_lists.substr(60)));
+  wait_for([&] { return lists.size() == 2 || !losses.empty(); }, "both lists");
+  EXPECT_TRUE(losses.empty());
   ASSERT_EQ(lists.size(), 2U);
   EXPECT_EQ(lists[0].version, 42);
   EXPECT_EQ(lists[1].entries.at(0).endpoint.status, dispatch::EndpointStatus::draining);
 }
 
-// Where no response begins, the timeout for responses applies, not that for a watch without data.
+// Until a response begins, the response timeout applies, not the timeout of a watch that receives no data.
 TEST_F(PlatformTest, AQueryWithoutAResponseTimesOut) {
-  begin(kShort, kLong);
-  wait_for([&] { return !lost.empty(); }, "its timeout");
-  EXPECT_EQ(lost, std::vector<SubscriptionLossReason>{SubscriptionLossReason::failed});
+  start_watch(kShortTimeout, kLongTimeout);
+  wait_for([&] { return !losses.empty(); }, "the timeout of the query");
+  EXPECT_EQ(losses, std::vector<SubscriptionLossReason>{SubscriptionLossReason::failed});
 }
 
 TEST_F(PlatformTest, AWatchWithoutDataIsReportedAsTimedOut) {
-  begin(kLong, kShort);
-  wait_for([&] { return asked.size() == 1; }, "the watch");
-  asked[0].session->write(kHead + chunk(list(42)));
-  wait_for([&] { return !lost.empty(); }, "its end");
-  EXPECT_EQ(lost, std::vector<SubscriptionLossReason>{SubscriptionLossReason::timed_out});
+  start_watch(kLongTimeout, kShortTimeout);
+  wait_for([&] { return requests.size() == 1; }, "the watch");
+  requests[0].session->write(kChunkedResponseHead + chunk(indented_list(42)));
+  wait_for([&] { return !losses.empty(); }, "the timeout of the watch");
+  EXPECT_EQ(losses, std::vector<SubscriptionLossReason>{SubscriptionLossReason::timed_out});
 }
 
-// A list that still comes from the former address after discovery has moved is dropped.
+// Discovery has been relocated while a list from the former address lies unread in the socket: it is dropped.
 TEST_F(PlatformTest, AListFromTheFormerAddressIsDropped) {
-  Server moved(io, [this](const Got& g) { asked.push_back(g); });
-  begin(kLong, kLong);
-  wait_for([&] { return asked.size() == 1; }, "the watch");
-  asked[0].session->write(kHead + chunk(list(42)));
-  platform->relocate(where(moved));  // it lies unread in the socket
-  EXPECT_EQ(lost, std::vector<SubscriptionLossReason>{SubscriptionLossReason::relocated});
+  Server new_agent(io, [this](const Got& received) { requests.push_back(received); });
+  start_watch(kLongTimeout, kLongTimeout);
+  wait_for([&] { return requests.size() == 1; }, "the watch");
+  requests[0].session->write(kChunkedResponseHead + chunk(indented_list(42)));
+  platform->relocate(address_of(new_agent));  // the list has not been read yet
+  EXPECT_EQ(losses, std::vector<SubscriptionLossReason>{SubscriptionLossReason::relocated});
   platform->watch();
-  wait_for([&] { return asked.size() == 2; }, "the watch at the new address");
-  EXPECT_EQ(asked[1].request.target(), "/catalog/members?follow=1&since=0");
-  asked[1].session->write(kHead + chunk(list(3)));
-  wait_for([&] { return !lists.empty(); }, "its list");
+  wait_for([&] { return requests.size() == 2; }, "the watch at the new address");
+  EXPECT_EQ(requests[1].request.target(), "/catalog/members?follow=1&since=0");
+  requests[1].session->write(kChunkedResponseHead + chunk(indented_list(3)));
+  wait_for([&] { return !lists.empty(); }, "the list of the new address");
   EXPECT_EQ(lists[0].version, 3);
 }
 
-// After a move, a snapshot is queried where only changes came. Should that fail, it is as overdue as what a
-// watch without data has missed, and must not wait for the backoff after a watch that has just failed.
-TEST_F(PlatformTest, ASnapshotThatFailsAfterAMoveIsReportedAsTimedOut) {
-  Server moved(io, [this](const Got& g) { asked.push_back(g); });
-  begin(kLong, kLong);
-  platform->relocate(where(moved));
+// After a relocation, the client queries a snapshot if the watch delivers only changes. If that query fails,
+// the list is as stale as after a watch that received no data, so the loss is reported as a time-out: the
+// next query must not wait for the backoff that follows a watch that has just failed.
+TEST_F(PlatformTest, ASnapshotThatFailsAfterARelocationIsReportedAsTimedOut) {
+  Server new_agent(io, [this](const Got& received) { requests.push_back(received); });
+  start_watch(kLongTimeout, kLongTimeout);
+  platform->relocate(address_of(new_agent));
   platform->watch();
-  wait_for([&] { return asked.size() == 1; }, "the watch at the new address");
-  asked[0].session->write(kHead + chunk(list(3)));
-  wait_for([&] { return asked.size() == 2; }, "the query of a snapshot");
-  EXPECT_EQ(asked[1].request.target(), "/catalog/members");
-  asked[1].session->close();
-  wait_for([&] { return lost.size() == 2; }, "its loss");
-  EXPECT_EQ(lost, (std::vector<SubscriptionLossReason>{SubscriptionLossReason::relocated,
-                                                       SubscriptionLossReason::timed_out}));
+  wait_for([&] { return requests.size() == 1; }, "the watch at the new address");
+  requests[0].session->write(kChunkedResponseHead + chunk(indented_list(3)));
+  wait_for([&] { return requests.size() == 2; }, "the query for a snapshot");
+  EXPECT_EQ(requests[1].request.target(), "/catalog/members");
+  requests[1].session->close();
+  wait_for([&] { return losses.size() == 2; }, "the report of the failed query");
+  EXPECT_EQ(losses, (std::vector<SubscriptionLossReason>{SubscriptionLossReason::relocated,
+                                                         SubscriptionLossReason::timed_out}));
 }
 
-// An idle connection falls silent just as a notice is written to it: the notice is sent on a new one, long
-// before the second after which its message would be lost. A run counts for nothing where the machine stood
-// still meanwhile.
-TEST_F(PlatformTest, ANoticeOnASilentConnectionIsRetriedOnANewOne) {
+// A kept-alive connection stops responding just as a notice is written to it: the notice is sent again on a
+// new connection, long before its message would be lost after 1 s. A run in which the machine stalled, which
+// the 800 ms timeout of the watch shows, is repeated, up to 20 times.
+TEST_F(PlatformTest, ANoticeWithoutAResponseIsRetriedOnANewConnection) {
   bool in_time = false;
   for (int attempt = 0; attempt < 20 && !in_time; attempt++) {
-    asked.clear();
-    lost.clear();
-    agent.on_request([&](const Got& g) {
-      if (g.request.method() == http::verb::post) asked.push_back(g);
+    requests.clear();
+    losses.clear();
+    agent.on_request([&](const Got& received) {
+      if (received.request.method() == http::verb::post) requests.push_back(received);
     });
-    begin(std::chrono::milliseconds(800), kLong, kShort);  // the watch that nobody answers tells the time
+    // Nothing answers the watch, so its timeout shows how much time has passed.
+    start_watch(std::chrono::milliseconds(800), kLongTimeout, kShortTimeout);
     platform->send_final_notice(1, "m1", {});
-    wait_for([&] { return asked.size() == 1; }, "the first notice");
-    asked[0].session->answer(204);
-    wait_for([&] { return !platform->has_pending_notices(); }, "its answer");
+    wait_for([&] { return requests.size() == 1; }, "the first notice");
+    requests[0].session->answer(204);
+    wait_for([&] { return !platform->has_pending_notices(); }, "the response to it");
     platform->send_final_notice(2, "m2", {});
-    wait_for([&] { return asked.size() == 2; }, "the second on the same connection");
-    EXPECT_EQ(asked[1].session, asked[0].session);
-    wait_for([&] { return asked.size() == 3; }, "the second once more");
-    EXPECT_NE(asked[2].session, asked[0].session);
-    EXPECT_EQ(asked[2].request.body(), asked[1].request.body());
-    in_time = lost.empty();
+    wait_for([&] { return requests.size() == 2; }, "the second notice");
+    EXPECT_EQ(requests[1].session, requests[0].session);
+    wait_for([&] { return requests.size() == 3; }, "the second notice again");
+    EXPECT_NE(requests[2].session, requests[0].session);
+    EXPECT_EQ(requests[2].request.body(), requests[1].request.body());
+    in_time = losses.empty();
   }
   EXPECT_TRUE(in_time);
 }
 
-// ---- The program. ----
+// ---- The program, started with a cached endpoint list. ----
 class CachedListTest : public RelayTest {
  protected:
   CachedListTest() {
     list_mode = "automatic";
     relays = 300;
   }
-  // Runs a process that accepts m1 while no endpoint may be sent anything, and ends it.
-  void leave_one_unattempted() {
+  // Runs a process that accepts m1 while its only endpoint is draining, and kills it before any attempt.
+  void leave_message_unattempted() {
     members = member("s-1", endpoint.address(), "draining");
     spawn(config());
-    wait_for([&] { return logged().find("draining or removed: s-1") != std::string::npos; }, "its list");
+    wait_for([&] { return logged().find("draining or removed: s-1") != std::string::npos; },
+             "the endpoint list");
     EXPECT_EQ(hand_in("m1", "load-status"), 202U);
     kill_relay();
     members = member("s-1", endpoint.address());
   }
 };
 
-// While a process was down, its endpoint was announced as draining. The messages that it recovers wait for
-// the agent's list, provided that it comes within the hold time: a machine too slow for that shows in the
-// log, and the test runs again.
+// While a process was down, its endpoint was announced as draining. The messages that the next process
+// recovers wait for the agent's list, provided that it arrives within the hold time. On a machine too slow
+// for that the log says that the cached list is in use, and the run is repeated, up to 50 times.
 TEST_F(CachedListTest, RecoveredMessagesWaitForTheAgentsList) {
   Server other(io, answer_ok);
   for (int attempt = 0; attempt < 50; attempt++) {
     std::filesystem::remove_all(folder + "/state");
     std::filesystem::create_directories(folder + "/state");
-    platform.on_request([this](const Got& g) { on_platform(g); });
-    leave_one_unattempted();
+    platform.on_request([this](const Got& received) { on_platform(received); });
+    leave_message_unattempted();
     std::filesystem::remove(folder + "/log");
-    platform.on_request([&](const Got& g) {
-      g.session->write(kHead + chunk(list(member("s-1", endpoint.address(), "draining") + "," +
-                                          member("s-2", other.address()))));
+    platform.on_request([&](const Got& received) {
+      received.session->write(
+          kChunkedResponseHead +
+          chunk(list(member("s-1", endpoint.address(), "draining") + "," + member("s-2", other.address()))));
     });
     other.got.clear();
-    spawn(config());  // its known list: s-1 is ready
+    spawn(config());  // its cached list says that s-1 is ready
     wait_for([&] { return !other.got.empty() || !endpoint.got.empty(); }, "a call");
     if (logged().find("endpoint_list_cached_in_use") == std::string::npos) break;
     kill_relay();
   }
   EXPECT_EQ(logged().find("endpoint_list_cached_in_use"), std::string::npos);
-  EXPECT_TRUE(endpoint.got.empty()) << "it was sent to a draining endpoint";
+  EXPECT_TRUE(endpoint.got.empty()) << "the message was sent to a draining endpoint";
   ASSERT_FALSE(other.got.empty());
   EXPECT_EQ(other.got[0].request["X-Request-Id"], "m1");
 }
 
-// While discovery is down the agent does not respond: the cached list is used.
+// While discovery is down, the agent does not respond: the cached list is used.
 TEST_F(CachedListTest, IsUsedWhileTheAgentDoesNotRespond) {
   platform.on_request(stay_silent);
   start();
   EXPECT_EQ(hand_in("m1", "load-status"), 202U);
   wait_for([&] { return !endpoint.got.empty(); }, "the call");
   EXPECT_NE(logged().find("endpoint_list_cached_in_use"), std::string::npos);
-  wait_for([&] { return platform.got.size() >= 3; }, "the agent is asked on");
+  wait_for([&] { return platform.got.size() >= 3; }, "further queries to the agent");
 }
 
-// The configuration moves discovery while the first watch has no response yet: a watch at the new address is
-// begun at once, and a list from the former one is dropped.
-TEST_F(CachedListTest, AMoveDuringTheFirstWatchIsFollowed) {
+// The configuration changes the address of discovery while the first watch has no response yet: a watch at
+// the new address starts immediately, and a list from the former address is dropped.
+TEST_F(CachedListTest, ARelocationDuringTheFirstWatchIsFollowed) {
   Server other(io, answer_ok);
-  Server moved(io,
-               [&](const Got& g) { g.session->write(kHead + chunk(list(member("s-2", other.address())))); });
+  Server new_agent(io, [&](const Got& received) {
+    received.session->write(kChunkedResponseHead + chunk(list(member("s-2", other.address()))));
+  });
   platform.on_request(stay_silent);
   start();
-  wait_for([&] { return !platform.got.empty(); }, "the first call");
-  const auto first = platform.got[0].session;
-  reload(config(moved.address()));
+  wait_for([&] { return !platform.got.empty(); }, "the first watch");
+  const auto former_watch = platform.got[0].session;
+  reload(config(new_agent.address()));
   wait_for([&] { return logged().find("snapshot, 1 endpoints") != std::string::npos; },
-           "the new address's list");
-  first->write(kHead + chunk(list(member("s-1", endpoint.address()))));
+           "the list of the new address");
+  former_watch->write(kChunkedResponseHead + chunk(list(member("s-1", endpoint.address()))));
   EXPECT_EQ(hand_in("m1", "load-status"), 202U);
   wait_for([&] { return !other.got.empty() || !endpoint.got.empty(); }, "the call");
-  EXPECT_TRUE(endpoint.got.empty()) << "the new list does not name it";
+  EXPECT_TRUE(endpoint.got.empty()) << "the list of the new address does not contain s-1";
 }
 
-// During an outage the agent accepts connections and does not respond. The list it has at its return is
-// binding at once, so it must be queried soon.
+// During an outage the agent accepts connections and does not respond. The list that it has afterwards
+// applies immediately, so it must be queried soon.
 TEST_F(CachedListTest, TheAgentsListIsQueriedSoonAfterAnOutage) {
   Server other(io, answer_ok);
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   platform.on_request(stay_silent);
-  const auto before = platform.got.size();
+  const auto requests_before = platform.got.size();
   watches[0]->close();
-  wait_for([&] { return platform.got.size() >= before + 3; }, "calls for the list through the outage");
+  wait_for([&] { return platform.got.size() >= requests_before + 3; },
+           "queries for the list during the outage");
   EXPECT_EQ(hand_in("m1", "load-status"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "service by what is known");
-  platform.on_request([&](const Got& g) {
-    g.session->write(kHead + chunk(list(member("s-1", endpoint.address(), "draining") + "," +
-                                        member("s-2", other.address()))));
+  wait_for([&] { return endpoint.got.size() == 1; }, "a call by the last known list");
+  platform.on_request([&](const Got& received) {
+    received.session->write(kChunkedResponseHead + chunk(list(member("s-1", endpoint.address(), "draining") +
+                                                              "," + member("s-2", other.address()))));
   });
   wait_for([&] { return logged().find("draining or removed: s-1") != std::string::npos; },
-           "the list at its return");
+           "the list after the outage");
   EXPECT_EQ(hand_in("m2", "load-status"), 202U);
-  wait_for([&] { return !other.got.empty(); }, "the call goes elsewhere");
+  wait_for([&] { return !other.got.empty(); }, "the call to the other endpoint");
   EXPECT_EQ(endpoint.got.size(), 1U);
 }
 
