--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,4 @@
-// A program that uses the installed library: one message to one endpoint must be sent.
+// Uses the installed library: the dispatcher must send one message to one endpoint. Returns 0 if it does.
 #include <dispatch/dispatcher.hpp>
 
 int main() {
--- a/tests/delivery_client_test.cpp
+++ b/tests/delivery_client_test.cpp
@@ -1,5 +1,4 @@
-// The delivery client against a fake endpoint on loopback sockets. Each test says which failure it guards
-// against.
+// The delivery client against a fake endpoint on loopback sockets.
 #include "delivery_client.hpp"
 
 #include "relay_harness.hpp"
@@ -9,21 +8,22 @@
 
 using dispatch::event::AttemptEnded;
 
-constexpr Time kSoon = 500'000, kLong = 20'000'000;
+constexpr Time kShortTimeout = 500'000;    // microseconds
+constexpr Time kLongTimeout = 20'000'000;  // microseconds
 
 class DeliveryClientTest : public ::testing::Test {
  protected:
   DeliveryClientTest() : endpoint(io, stay_silent) {
     const std::string address = endpoint.address();
     const auto port = std::stoi(address.substr(address.rfind(':') + 1));
-    calls.set_address("s-1", {net::ip::make_address(own_address()), static_cast<std::uint16_t>(port)});
+    client.set_address("s-1", {net::ip::make_address(own_address()), static_cast<std::uint16_t>(port)});
   }
   static DeliveryLimits limits() {
     DeliveryLimits limits;
     limits.max_calls_in_flight = 4;
     limits.max_connections = 8;
-    limits.connect_timeout = kLong;
-    limits.idle_timeout = kLong;
+    limits.connect_timeout = kLongTimeout;
+    limits.idle_timeout = kLongTimeout;
     return limits;
   }
   static OutgoingMessage message(MessageId id, Time timeout) {
@@ -33,7 +33,7 @@
   void wait_for(Condition condition, const char* what) {
     const auto until = std::chrono::steady_clock::now() + kPatience;
     while (!condition()) {
-      ASSERT_LT(std::chrono::steady_clock::now(), until) << "waited in vain until " << what;
+      ASSERT_LT(std::chrono::steady_clock::now(), until) << "timed out waiting for " << what;
       io.restart();
       io.run_one_for(std::chrono::milliseconds(5));
     }
@@ -41,84 +41,86 @@
 
   net::io_context io;
   Server endpoint;
-  std::vector<AttemptEnded> ended;
-  DeliveryClient calls{io, limits(), [this](const AttemptEnded& e) { ended.push_back(e); }};
+  std::vector<AttemptEnded> ended;  // attempts that the client reported
+  DeliveryClient client{io, limits(), [this](const AttemptEnded& event) { ended.push_back(event); }};
 };
 
-// A message whose end was reported may be sent again, so its call must have ended by then: a second copy
-// would be in flight.
-TEST_F(DeliveryClientTest, AMessageGivenUpInABatchIsInFlightUntilTheCallEnds) {
-  calls.send("s-1", {message(1, kLong), message(2, kLong)});
+// A message whose attempt was reported as ended may be sent again, so its call must have ended by then:
+// otherwise a second copy would be in flight.
+TEST_F(DeliveryClientTest, ACancelledMessageOfABatchIsInFlightUntilTheCallEnds) {
+  client.send("s-1", {message(1, kLongTimeout), message(2, kLongTimeout)});
   wait_for([&] { return endpoint.got.size() == 1; }, "the call");
   EXPECT_EQ(endpoint.got[0].request.target(), "/events/bundle");
-  calls.cancel(1, 0);
+  client.cancel(1, 0);
   EXPECT_TRUE(ended.empty());
-  EXPECT_EQ(calls.in_flight_count(), 1U);
-  calls.cancel(2, 0);
-  EXPECT_EQ(calls.in_flight_count(), 0U);
+  EXPECT_EQ(client.in_flight_count(), 1U);
+  client.cancel(2, 0);
+  EXPECT_EQ(client.in_flight_count(), 0U);
   ASSERT_EQ(ended.size(), 2U);
-  for (const auto& e : ended) EXPECT_EQ(e.outcome, Outcome::cancelled);
+  for (const auto& event : ended) EXPECT_EQ(event.outcome, Outcome::cancelled);
   wait_for([&] { return endpoint.sessions[0]->ended; }, "its connection is closed");
 }
 
-// A response in time for the others counts for a message whose own timeout has passed, too.
+// A response that is in time for other messages of the batch also counts for a message whose own timeout has
+// passed.
 TEST_F(DeliveryClientTest, AResponseCountsForAMessageOfTheBatchThatTimedOut) {
-  const Time sent = steady_now();
-  calls.send("s-1", {message(1, kSoon), message(2, kLong)});
-  wait_for([&] { return endpoint.got.size() == 1 && steady_now() > sent + 2 * kSoon; }, "its time is over");
+  const Time sent_at = steady_now();
+  client.send("s-1", {message(1, kShortTimeout), message(2, kLongTimeout)});
+  wait_for([&] { return endpoint.got.size() == 1 && steady_now() > sent_at + 2 * kShortTimeout; },
+           "the timeout of the first message");
   EXPECT_TRUE(ended.empty());
   endpoint.got[0].session->answer(200, "", R"([{"id":"m1","state":"done"},{"id":"m2","state":"busy"}])");
-  wait_for([&] { return ended.size() == 2; }, "both have their end");
+  wait_for([&] { return ended.size() == 2; }, "the end of both attempts");
   EXPECT_EQ(ended[0].outcome, Outcome::succeeded);
   EXPECT_TRUE(ended[0].message_settled);
   EXPECT_EQ(ended[1].outcome, Outcome::rejected);
 }
 
-// A response after the deadline of one message delivers none of the batch, whatever it says: it is not waited
-// for beyond the first deadline.
-TEST_F(DeliveryClientTest, ABatchIsGivenUpAtTheFirstDeadlineOfItsMessages) {
-  auto first = message(1, kLong);
-  first.time_to_deadline = kSoon;
-  calls.send("s-1", {message(2, kLong), std::move(first)});
+// A response after the deadline of one message delivers no message of the batch, whatever it says. So the
+// client does not wait for it beyond the earliest deadline.
+TEST_F(DeliveryClientTest, ABatchTimesOutAtTheEarliestDeadlineOfItsMessages) {
+  auto earliest = message(1, kLongTimeout);
+  earliest.time_to_deadline = kShortTimeout;
+  client.send("s-1", {message(2, kLongTimeout), std::move(earliest)});
   wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-  EXPECT_EQ(endpoint.got[0].request["X-Deadline"], std::to_string(kSoon) + "u");
+  EXPECT_EQ(endpoint.got[0].request["X-Deadline"], std::to_string(kShortTimeout) + "u");
   wait_for([&] { return endpoint.sessions[0]->ended; }, "its connection is closed");
   ASSERT_EQ(ended.size(), 2U);
-  for (const auto& e : ended) EXPECT_EQ(e.outcome, Outcome::timeout);
+  for (const auto& event : ended) EXPECT_EQ(event.outcome, Outcome::timeout);
 }
 
-// Without a response, each outcome is reported once.
-TEST_F(DeliveryClientTest, ABatchWithoutAResponseEndsWithItsLastTimeout) {
-  calls.send("s-1", {message(1, kSoon), message(2, 3 * kSoon)});
-  wait_for([&] { return calls.in_flight_count() == 0; }, "the call ends");
+// Without a response, each attempt's outcome is reported once, at the latest timeout of the batch.
+TEST_F(DeliveryClientTest, ABatchWithoutAResponseEndsAtItsLatestTimeout) {
+  client.send("s-1", {message(1, kShortTimeout), message(2, 3 * kShortTimeout)});
+  wait_for([&] { return client.in_flight_count() == 0; }, "the end of the call");
   ASSERT_EQ(ended.size(), 2U);
-  for (const auto& e : ended) EXPECT_EQ(e.outcome, Outcome::timeout);
-  EXPECT_GE(ended[0].latency, 3 * kSoon);
+  for (const auto& event : ended) EXPECT_EQ(event.outcome, Outcome::timeout);
+  EXPECT_GE(ended[0].latency, 3 * kShortTimeout);
 }
 
-// A retry whose idempotency key expires while the connection is opened would be processed a second time: it
-// is left out of the request. No connection can be opened until then, since the endpoint's backlog of one is
-// full.
+// The endpoint would process a retry a second time if its idempotency key expired while the connection was
+// being opened, so the client leaves such a message out of the request. Until then no connection can be
+// opened, since the endpoint's backlog of one is full.
 TEST_F(DeliveryClientTest, ARetryThatExpiresWhileConnectingIsNotSent) {
-  tcp::acceptor full(io, tcp::v4());
-  full.bind({net::ip::make_address(own_address()), 0});
-  full.listen(0);
-  tcp::socket first(io);
-  first.connect(full.local_endpoint());
-  calls.set_address("s-2", full.local_endpoint());
-  auto late = message(1, kLong);
-  late.start_by = steady_now() + kSoon;
-  calls.send("s-2", {late, message(2, kLong)});
-  wait_for([&] { return ended.size() == 1; }, "it ends");
+  tcp::acceptor acceptor(io, tcp::v4());
+  acceptor.bind({net::ip::make_address(own_address()), 0});
+  acceptor.listen(0);
+  tcp::socket queued(io);  // fills the backlog
+  queued.connect(acceptor.local_endpoint());
+  client.set_address("s-2", acceptor.local_endpoint());
+  auto expiring = message(1, kLongTimeout);
+  expiring.start_by = steady_now() + kShortTimeout;
+  client.send("s-2", {expiring, message(2, kLongTimeout)});
+  wait_for([&] { return ended.size() == 1; }, "the end of the expired attempt");
   EXPECT_EQ(ended[0].id, 1U);
   EXPECT_EQ(ended[0].outcome, Outcome::not_sent);
-  full.accept();
+  acceptor.accept();
   tcp::socket socket(io);
   Request request;
   beast::flat_buffer buffer;
   bool read = false;
-  full.async_accept(socket, [&](error_code bad) {
-    ASSERT_FALSE(bad);
+  acceptor.async_accept(socket, [&](error_code error) {
+    ASSERT_FALSE(error);
     http::async_read(socket, buffer, request, [&](error_code, std::size_t) { read = true; });
   });
   wait_for([&] { return read; }, "the call");
@@ -127,18 +129,19 @@
   EXPECT_EQ(ended.size(), 1U);
 }
 
-// Decided in time but delayed, for instance by a disk that did not take the records.
-TEST_F(DeliveryClientTest, ARetryThatIsTooLateIsNotSentOnAnIdleConnectionEither) {
-  calls.send("s-1", {message(1, kLong)});
+// The retry was decided in time but delayed afterwards, for instance by a disk that did not accept the
+// journal's records.
+TEST_F(DeliveryClientTest, AnExpiredRetryIsNotSentOnAnIdleConnection) {
+  client.send("s-1", {message(1, kLongTimeout)});
   wait_for([&] { return endpoint.got.size() == 1; }, "the first call");
   endpoint.got[0].session->answer(200);
-  wait_for([&] { return ended.size() == 1; }, "its answer");
-  auto late = message(2, kLong);
-  late.start_by = steady_now();
-  calls.send("s-1", {late});
-  wait_for([&] { return ended.size() == 2; }, "its end");
+  wait_for([&] { return ended.size() == 1; }, "the response to it");
+  auto expired = message(2, kLongTimeout);
+  expired.start_by = steady_now();
+  client.send("s-1", {expired});
+  wait_for([&] { return ended.size() == 2; }, "the end of the expired attempt");
   EXPECT_EQ(ended[1].outcome, Outcome::not_sent);
-  calls.send("s-1", {message(3, kLong)});
+  client.send("s-1", {message(3, kLongTimeout)});
   wait_for([&] { return endpoint.got.size() == 2; }, "the next call");
   EXPECT_EQ(endpoint.got[1].request["X-Request-Id"], "m3");
 }
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -1,4 +1,5 @@
-// The journal: what is recovered from a file that was cut off anywhere, and the capacity it takes.
+// The journal: recovery from a file that was truncated or damaged at any position, compaction, and disk
+// usage.
 #include "journal.hpp"
 
 #include <gtest/gtest.h>
@@ -20,37 +21,41 @@
   }
   void TearDown() override { fs::remove_all(folder); }
 
-  static Message message(const std::string& id, std::size_t body = 5) {
-    Message m;
-    m.id = id;
-    m.message_class = "pay-and-order";
-    m.tenant = "acme";
-    m.destination = 7;
-    m.deadline = 123'456'789;
-    m.resubmitted = true;
-    m.body = std::string(body, '\0') + "x";
-    return m;
+  // A message whose body has `zero_bytes` zero bytes and one more byte.
+  static Message message(const std::string& id, std::size_t zero_bytes = 5) {
+    Message message;
+    message.id = id;
+    message.message_class = "pay-and-order";
+    message.tenant = "acme";
+    message.destination = 7;
+    message.deadline = 123'456'789;
+    message.resubmitted = true;
+    message.body = std::string(zero_bytes, '\0') + "x";
+    return message;
   }
-  std::string file() const { return folder + "/journal"; }
-  std::string content() const {
-    std::ifstream in(file(), std::ios::binary);
+  std::string journal_path() const { return folder + "/journal"; }
+  std::string read_journal_file() const {
+    std::ifstream in(journal_path(), std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  void write(const std::string& bytes) const { std::ofstream(file(), std::ios::binary) << bytes; }
-  std::uint64_t on_disk() const {
-    std::uint64_t sum = 0;
-    for (const auto& f : fs::directory_iterator(folder)) sum += (f.file_size() + 511) / 512 * 512;
-    return sum;
+  void write_journal_file(const std::string& bytes) const {
+    std::ofstream(journal_path(), std::ios::binary) << bytes;
+  }
+  // The size of all files in the folder, each rounded up to blocks of 512 bytes.
+  std::uint64_t disk_usage() const {
+    std::uint64_t bytes = 0;
+    for (const auto& file : fs::directory_iterator(folder)) bytes += (file.file_size() + 511) / 512 * 512;
+    return bytes;
   }
 
   const std::string folder =
       (fs::temp_directory_path() / ("journal-test-" + std::to_string(::getpid()))).string();
-  static constexpr std::uint64_t kLimit = 3'000'000;
+  static constexpr std::uint64_t kSizeLimit = 3'000'000;  // bytes
 };
 
 TEST_F(JournalTest, RecoversWhatWasWritten) {
   {
-    Journal journal(folder, kLimit);
+    Journal journal(folder, kSizeLimit);
     journal.record_message(1, message("a"));
     journal.record_message(2, message("b"));
     journal.record_message(3, message("c"));
@@ -61,80 +66,82 @@
     journal.record_completed(3);
     EXPECT_TRUE(journal.commit());
   }
-  const Journal journal(folder, kLimit);
+  const Journal journal(folder, kSizeLimit);
   EXPECT_EQ(journal.dropped_bytes(), 0U);
   ASSERT_EQ(journal.messages().size(), 2U);
-  const JournaledMessage& a = journal.messages().at(1);
-  EXPECT_EQ(a.message.id, "a");
-  EXPECT_EQ(a.message.message_class, "pay-and-order");
-  EXPECT_EQ(a.message.tenant, "acme");
-  EXPECT_EQ(a.message.destination, 7);
-  EXPECT_EQ(a.message.deadline, 123'456'789);
-  EXPECT_TRUE(a.message.resubmitted);
-  EXPECT_EQ(a.message.body, std::string(5, '\0') + "x");
-  ASSERT_EQ(a.attempts.size(), 2U);
-  EXPECT_FALSE(a.attempts[0].may_have_executed());
-  EXPECT_TRUE(a.attempts[1].may_have_executed());  // no outcome was seen
-  EXPECT_EQ(a.attempts[1].sent_at, 2000);
-  EXPECT_EQ(a.attempts[1].zone, 1);
+  const JournaledMessage& recovered = journal.messages().at(1);
+  EXPECT_EQ(recovered.message.id, "a");
+  EXPECT_EQ(recovered.message.message_class, "pay-and-order");
+  EXPECT_EQ(recovered.message.tenant, "acme");
+  EXPECT_EQ(recovered.message.destination, 7);
+  EXPECT_EQ(recovered.message.deadline, 123'456'789);
+  EXPECT_TRUE(recovered.message.resubmitted);
+  EXPECT_EQ(recovered.message.body, std::string(5, '\0') + "x");
+  ASSERT_EQ(recovered.attempts.size(), 2U);
+  EXPECT_FALSE(recovered.attempts[0].may_have_executed());
+  EXPECT_TRUE(recovered.attempts[1].may_have_executed());  // no outcome was recorded
+  EXPECT_EQ(recovered.attempts[1].sent_at, 2000);
+  EXPECT_EQ(recovered.attempts[1].zone, 1);
   ASSERT_TRUE(journal.messages().at(2).final_answer.has_value());
   EXPECT_TRUE(journal.messages().at(2).final_answer->retryable);
   EXPECT_EQ(journal.messages().at(2).final_answer->retry_after, 500);
 }
 
-// A process may be killed within any write: whole records before the cut count, the torn one never.
-TEST_F(JournalTest, SurvivesACutAtEveryByte) {
-  std::string whole;
-  std::vector<std::size_t> ends;
+// A process may be killed during any write, which truncates the file at any byte: all complete records before
+// that position are recovered, the incomplete one never.
+TEST_F(JournalTest, RecoversCompleteRecordsOfAFileTruncatedAtAnyByte) {
+  std::string complete;
+  std::vector<std::size_t> record_ends;
   {
-    Journal journal(folder, kLimit);
+    Journal journal(folder, kSizeLimit);
     for (MessageId id = 1; id <= 3; id++) {
       journal.record_message(id, message(std::to_string(id)));
       ASSERT_TRUE(journal.commit());
-      ends.push_back(content().size());
+      record_ends.push_back(read_journal_file().size());
     }
-    whole = content();
+    complete = read_journal_file();
   }
-  for (std::size_t cut = 0; cut <= whole.size(); cut++) {
-    write(whole.substr(0, cut));
+  for (std::size_t length = 0; length <= complete.size(); length++) {
+    write_journal_file(complete.substr(0, length));
     std::size_t expected = 0;
-    for (const auto end : ends) expected += cut >= end;
+    for (const auto record_end : record_ends) expected += length >= record_end;
     {
-      Journal journal(folder, kLimit);
-      ASSERT_EQ(journal.messages().size(), expected) << "cut at " << cut;
+      Journal journal(folder, kSizeLimit);
+      ASSERT_EQ(journal.messages().size(), expected) << "truncated at " << length;
       journal.record_message(9, message("new"));
       ASSERT_TRUE(journal.commit());
     }
-    const Journal again(folder, kLimit);
-    ASSERT_EQ(again.messages().size(), expected + 1) << "cut at " << cut;
-    ASSERT_EQ(again.dropped_bytes(), 0U);
+    const Journal reopened(folder, kSizeLimit);
+    ASSERT_EQ(reopened.messages().size(), expected + 1) << "truncated at " << length;
+    ASSERT_EQ(reopened.dropped_bytes(), 0U);
   }
 }
 
-// A message comes back with its keys or not at all, cut at any byte and compacted; no later one gets them.
+// From a compacted file truncated at any byte, a message is recovered with its keys or not at all, and no
+// later message gets its keys.
 TEST_F(JournalTest, KeysAreRecoveredWithTheirMessageOrNotAtAll) {
   const auto with_keys = [](const std::string& id) {
-    Message m = message(id);
-    m.idempotency_key = "key-" + id;
-    m.order_key = "about-" + id;
-    return m;
+    Message keyed = message(id);
+    keyed.idempotency_key = "key-" + id;
+    keyed.order_key = "about-" + id;
+    return keyed;
   };
-  std::string whole;
+  std::string complete;
   {
-    Journal journal(folder, kLimit);
+    Journal journal(folder, kSizeLimit);
     journal.record_message(1, message("plain"));
     journal.record_message(2, with_keys("a"));
     ASSERT_TRUE(journal.commit());
     while (journal.compact()) {
     }
-    whole = content();
+    complete = read_journal_file();
   }
-  for (std::size_t cut = 0; cut <= whole.size(); cut++) {
-    write(whole.substr(0, cut));
+  for (std::size_t length = 0; length <= complete.size(); length++) {
+    write_journal_file(complete.substr(0, length));
     {
-      Journal journal(folder, kLimit);
+      Journal journal(folder, kSizeLimit);
       const auto held = journal.messages().find(2);
-      ASSERT_EQ(held != journal.messages().end(), cut == whole.size());
+      ASSERT_EQ(held != journal.messages().end(), length == complete.size());
       if (held == journal.messages().end()) {
         journal.record_message(2, message("next"));
       } else {
@@ -142,141 +149,147 @@
       }
       ASSERT_TRUE(journal.commit());
     }
-    const Journal again(folder, kLimit);
-    const Message& m = again.messages().at(2).message;
-    EXPECT_EQ(m.idempotency_key, m.id == "a" ? "key-a" : "") << "cut at " << cut;
+    const Journal reopened(folder, kSizeLimit);
+    const Message& recovered = reopened.messages().at(2).message;
+    EXPECT_EQ(recovered.idempotency_key, recovered.id == "a" ? "key-a" : "") << "truncated at " << length;
   }
 }
 
-TEST_F(JournalTest, ADamagedRecordEndsTheRecovery) {
+TEST_F(JournalTest, RecoveryStopsAtADamagedRecord) {
   {
-    Journal journal(folder, kLimit);
+    Journal journal(folder, kSizeLimit);
     journal.record_message(1, message("a"));
     journal.record_message(2, message("b"));
     ASSERT_TRUE(journal.commit());
   }
-  auto bytes = content();
+  auto bytes = read_journal_file();
   bytes[bytes.size() - 3] = static_cast<char>(bytes[bytes.size() - 3] ^ 1);
-  write(bytes);
-  const Journal journal(folder, kLimit);
+  write_journal_file(bytes);
+  const Journal journal(folder, kSizeLimit);
   EXPECT_EQ(journal.messages().size(), 1U);
   EXPECT_GT(journal.dropped_bytes(), 0U);
 }
 
-TEST_F(JournalTest, AFileWithoutTheHeaderIsNoJournal) {
-  write("something else altogether\n");
-  Journal journal(folder, kLimit);
+TEST_F(JournalTest, AFileWithoutTheHeaderIsDiscarded) {
+  write_journal_file("something else altogether\n");
+  Journal journal(folder, kSizeLimit);
   EXPECT_TRUE(journal.messages().empty());
   EXPECT_GT(journal.dropped_bytes(), 0U);
   journal.record_message(1, message("a"));
   EXPECT_TRUE(journal.commit());
-  EXPECT_EQ(Journal(folder, kLimit).messages().size(), 1U);
+  EXPECT_EQ(Journal(folder, kSizeLimit).messages().size(), 1U);
 }
 
-// Large bodies fill the folder fast: it stays under its limit at every step, nothing held is lost, and room
-// comes back once messages are over.
+// Messages with large bodies fill the folder quickly: its size stays below the limit at every step, no open
+// message is lost, and completed messages free capacity for new ones.
 TEST_F(JournalTest, StaysUnderItsLimitWithLargeBodies) {
-  Journal journal(folder, kLimit);
-  MessageId next = 1, first = 1;
-  int refused = 0;
+  Journal journal(folder, kSizeLimit);
+  MessageId next = 1;
+  MessageId oldest = 1;
+  int rejected = 0;
   for (int i = 0; i < 1000; i++) {
-    const Message m = message(std::to_string(next), 64 * 1024 - 1);
-    if (journal.has_capacity_for(m)) {
-      journal.record_message(next++, m);
+    const Message candidate = message(std::to_string(next), 64 * 1024 - 1);
+    if (journal.has_capacity_for(candidate)) {
+      journal.record_message(next++, candidate);
     } else {
-      refused++;
-      if (first < next) journal.record_completed(first++);
+      rejected++;
+      if (oldest < next) journal.record_completed(oldest++);
     }
     ASSERT_TRUE(journal.commit());
-    ASSERT_LE(on_disk(), kLimit);
+    ASSERT_LE(disk_usage(), kSizeLimit);
     if (journal.needs_compaction()) journal.compact();
-    ASSERT_LE(on_disk(), kLimit);
+    ASSERT_LE(disk_usage(), kSizeLimit);
   }
-  EXPECT_GT(refused, 0);
-  EXPECT_GT(next, 200U);  // far more went through than fit at once
-  const auto held = journal.messages().size();
-  EXPECT_EQ(held, next - first);
-  EXPECT_EQ(Journal(folder, kLimit).messages().size(), held);
+  EXPECT_GT(rejected, 0);
+  EXPECT_GT(next, 200U);  // far more messages were recorded than fit at the same time
+  const auto open_messages = journal.messages().size();
+  EXPECT_EQ(open_messages, next - oldest);
+  EXPECT_EQ(Journal(folder, kSizeLimit).messages().size(), open_messages);
 }
 
-// Endpoints left out by hand stay so through compaction, whatever is called while it goes on.
+// Endpoints suspended by an operator stay suspended through a compaction, whatever is recorded while it is in
+// progress.
 TEST_F(JournalTest, SuspensionsSurviveCompaction) {
   {
-    Journal journal(folder, kLimit);
+    Journal journal(folder, kSizeLimit);
     journal.record_suspension("s-1", SuspensionState::suspended);
     journal.record_suspension("s-2", SuspensionState::suspended);
     journal.record_suspension("s-2", SuspensionState::suspended);
     for (MessageId id = 1; id <= 40; id++) journal.record_message(id, message("m", 20'000));
-    EXPECT_TRUE(journal.compact());  // a first step, with more to do
+    EXPECT_TRUE(journal.compact());  // the first of several steps
     journal.record_suspension("s-2", SuspensionState::restored);
     journal.record_suspension("s-3", SuspensionState::suspended);
     while (journal.compact()) {
     }
     EXPECT_TRUE(journal.commit());
   }
-  const Journal journal(folder, kLimit);
+  const Journal journal(folder, kSizeLimit);
   EXPECT_EQ(journal.suspended_endpoints(), (std::set<std::string>{"s-1", "s-3"}));
   EXPECT_EQ(journal.messages().size(), 40U);
 }
 
-// Killed at any step of a compaction, with news written between the steps, all that is held is found again.
-TEST_F(JournalTest, CompactionMayBeInterruptedAtAnyStep) {
-  for (int stop = 0; stop < 12; stop++) {
+// The process is killed after any step of a compaction, with records written between the steps: every open
+// message and its attempts are recovered.
+TEST_F(JournalTest, RecoversFromACompactionInterruptedAfterAnyStep) {
+  for (int completed_steps = 0; completed_steps < 12; completed_steps++) {
     fs::remove_all(folder);
     fs::create_directories(folder);
     const std::string copy = folder + "-copy";
     std::map<MessageId, std::size_t> expected;
     {
-      Journal journal(folder, kLimit);
+      Journal journal(folder, kSizeLimit);
       for (MessageId id = 1; id <= 12; id++)
         journal.record_message(id, message(std::to_string(id), 64 * 1024 - 1));
       ASSERT_TRUE(journal.commit());
-      MessageId id = 100;
-      for (int step = 0; step < stop; step++) {
+      MessageId next = 100;
+      for (int step = 0; step < completed_steps; step++) {
         journal.compact();
-        journal.record_message(id, message(std::to_string(id)));
-        journal.record_attempt(id, 1, 0);
-        journal.record_attempt(1, 1, 0);   // copied by now
-        journal.record_attempt(12, 1, 0);  // may not be copied yet
+        journal.record_message(next, message(std::to_string(next)));
+        journal.record_attempt(next, 1, 0);
+        journal.record_attempt(1, 1, 0);   // copied to the new file by now
+        journal.record_attempt(12, 1, 0);  // may not have been copied yet
         if (step == 3) journal.record_completed(5);
-        id++;
+        next++;
         ASSERT_TRUE(journal.commit());
       }
-      for (const auto& [number, held] : journal.messages()) expected[number] = held.attempts.size();
+      for (const auto& [id, entry] : journal.messages()) expected[id] = entry.attempts.size();
       fs::remove_all(copy);
-      fs::copy(folder, copy);  // what SIGKILL would leave
+      fs::copy(folder, copy);  // the files as SIGKILL would leave them
     }
     {
-      const Journal left(copy, kLimit);
+      const Journal recovered(copy, kSizeLimit);
       std::map<MessageId, std::size_t> found;
-      for (const auto& [number, held] : left.messages()) found[number] = held.attempts.size();
-      EXPECT_EQ(found, expected) << "stopped after step " << stop;
+      for (const auto& [id, entry] : recovered.messages()) found[id] = entry.attempts.size();
+      EXPECT_EQ(found, expected) << "killed after steps: " << completed_steps;
       EXPECT_FALSE(fs::exists(copy + "/journal.next"));
     }
     fs::remove_all(copy);
   }
 }
 
-// What is set aside for a message is the length of its own records, whatever it holds, and the same for those
-// to come.
+// The bytes reserved for a message are the length of its own record, whatever its fields, plus the same
+// number for every message for the records that will follow.
 TEST_F(JournalTest, ReservedBytesAreTheLengthOfTheRecords) {
-  Message bare, keyed = message("a"), ordered = message("long id", 5000);
+  Message bare;
+  Message keyed = message("a");
+  Message ordered = message("long id", 5000);
   keyed.idempotency_key = "key";
   ordered.order_key = "about";
-  std::vector<std::uint64_t> later;
-  for (const Message& m : {bare, message("b"), keyed, ordered}) {
-    Journal journal(folder, kLimit);
-    const auto before = content().size();
-    journal.record_message(1 + later.size(), m);
+  std::vector<std::uint64_t> reserved_for_later;
+  for (const Message& recorded : {bare, message("b"), keyed, ordered}) {
+    Journal journal(folder, kSizeLimit);
+    const auto size_before = read_journal_file().size();
+    journal.record_message(1 + reserved_for_later.size(), recorded);
     ASSERT_TRUE(journal.commit());
-    later.push_back(Journal::reserved_bytes(m) - (content().size() - before));
+    reserved_for_later.push_back(Journal::reserved_bytes(recorded) -
+                                 (read_journal_file().size() - size_before));
   }
-  EXPECT_EQ(later, std::vector<std::uint64_t>(4, later[0]));
-  EXPECT_GE(later[0], 8U * 50);  // eight attempts
-  EXPECT_LT(later[0], 1000U);
+  EXPECT_EQ(reserved_for_later, std::vector<std::uint64_t>(4, reserved_for_later[0]));
+  EXPECT_GE(reserved_for_later[0], 8U * 50);  // eight attempts
+  EXPECT_LT(reserved_for_later[0], 1000U);
 }
 
-TEST_F(JournalTest, LackOfCapacityIsReportedBeforeAMessageIsAccepted) {
+TEST_F(JournalTest, ReportsInsufficientCapacityBeforeAMessageIsRecorded) {
   Journal journal(folder, 200'000);
   EXPECT_TRUE(journal.has_capacity_for(message("a", 1000)));
   EXPECT_FALSE(journal.has_capacity_for(message("a", 100'000)));
--- a/tests/response_reader_test.cpp
+++ b/tests/response_reader_test.cpp
@@ -1,5 +1,5 @@
-// Responses of endpoints, by table: which are complete, which are malformed, and what their status line
-// proves.
+// Table-driven tests of endpoints' responses: which are complete, incomplete or malformed, and whether the
+// status line proves that the request was delivered.
 #include "response_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -9,45 +9,52 @@
 
 using State = ResponseReader::State;
 
-// The response arrives in pieces of several sizes, which must make no difference.
-void expect(const std::string& text, State state, bool ok, bool reusable = false) {
-  for (std::size_t piece : {text.size(), std::size_t{1}, std::size_t{7}}) {
+// Feeds the response in pieces of several sizes, which must make no difference.
+void expect_response(const std::string& text, State state, bool status_line_ok, bool reusable = false) {
+  for (std::size_t piece_size : {text.size(), std::size_t{1}, std::size_t{7}}) {
     ResponseReader reader;
-    State got = State::incomplete;
-    for (std::size_t at = 0; at < text.size() && got == State::incomplete; at += piece)
-      got = reader.append(text.data() + at, std::min(piece, text.size() - at));
-    EXPECT_EQ(got, state) << text.substr(0, 80) << " in pieces of " << piece;
-    EXPECT_EQ(reader.status_line_ok(), ok) << text.substr(0, 80) << " in pieces of " << piece;
+    State reached = State::incomplete;
+    for (std::size_t position = 0; position < text.size() && reached == State::incomplete;
+         position += piece_size)
+      reached = reader.append(text.data() + position, std::min(piece_size, text.size() - position));
+    EXPECT_EQ(reached, state) << text.substr(0, 80) << " in pieces of " << piece_size;
+    EXPECT_EQ(reader.status_line_ok(), status_line_ok)
+        << text.substr(0, 80) << " in pieces of " << piece_size;
     EXPECT_EQ(reader.reusable(), reusable) << text.substr(0, 80);
   }
 }
 
-TEST(ResponseReaderTest, CompleteResponses) {
-  expect("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", State::complete, true, true);
-  expect("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", State::complete, false, true);
-  expect("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", State::complete, true,
-         true);
-  expect("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", State::complete, true, false);
+TEST(ResponseReaderTest, CompleteResponsesAreRecognized) {
+  expect_response("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", State::complete, true, true);
+  expect_response("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", State::complete, false, true);
+  expect_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+                  State::complete, true, true);
+  expect_response("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", State::complete,
+                  true, false);
 }
 
-// Informational (1xx) responses precede the one that counts; an endless series of them is malformed.
-TEST(ResponseReaderTest, InformationalResponses) {
-  const std::string ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n";
-  expect(ahead + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", State::complete, true, true);
-  expect(ahead + "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n", State::complete, false, true);
-  expect(ahead, State::incomplete, false);
-  expect("HTTP/1.1 101 Switch\r\n\r\n", State::malformed, false);
+// Informational (1xx) responses precede the final response; an endless series of them is malformed.
+TEST(ResponseReaderTest, InformationalResponsesAreSkipped) {
+  const std::string informational = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n";
+  expect_response(informational + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", State::complete, true,
+                  true);
+  expect_response(informational + "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n", State::complete, false,
+                  true);
+  expect_response(informational, State::incomplete, false);
+  expect_response("HTTP/1.1 101 Switch\r\n\r\n", State::malformed, false);
   std::string endless;
-  for (int i = 0; i < 40; i++) endless += ahead;
-  expect(endless, State::malformed, false);
+  for (int i = 0; i < 40; i++) endless += informational;
+  expect_response(endless, State::malformed, false);
   ResponseReader reader;
-  EXPECT_EQ(reader.append(ahead.data(), ahead.size()), State::incomplete);
+  EXPECT_EQ(reader.append(informational.data(), informational.size()), State::incomplete);
   EXPECT_FALSE(reader.has_started());
 }
 
-// A status line of 200 before noise still proves delivery; any other one before noise proves nothing.
-TEST(ResponseReaderTest, MalformedResponses) {
-  const std::string ok = "HTTP/1.1 200 OK\r\n", full = "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 500\r\n";
+// A status line with 200 proves delivery even if the rest of the response is malformed; any other status line
+// proves nothing then.
+TEST(ResponseReaderTest, MalformedResponsesAreRecognized) {
+  const std::string ok = "HTTP/1.1 200 OK\r\n";
+  const std::string rejection = "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 500\r\n";
   for (const std::string& rest :
        {std::string("\x01\x02: \x03\r\n\r\n"), std::string("no colon\r\n\r\n"),
         std::string("Content-Length: 3000000000\r\n\r\nxxxx"), std::string("Content-Length: -1\r\n\r\n"),
@@ -55,35 +62,35 @@
         std::string("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
         "X-A: " + std::string(20'000, 'a'), std::string("Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
         "Transfer-Encoding: chunked\r\n\r\n20000\r\n" + std::string(0x20000, 'a')}) {
-    expect(ok + rest, State::malformed, true);
-    expect(full + rest, State::malformed, false);
+    expect_response(ok + rest, State::malformed, true);
+    expect_response(rejection + rest, State::malformed, false);
   }
-  expect("\x01\x02 noise\r\n\r\n", State::malformed, false);
-  expect("HTTP/1.1 2000 OK\r\n\r\n", State::malformed, false);
-  expect("HTTP/9.9 200 OK\r\n\r\n", State::malformed, false);
+  expect_response("\x01\x02 noise\r\n\r\n", State::malformed, false);
+  expect_response("HTTP/1.1 2000 OK\r\n\r\n", State::malformed, false);
+  expect_response("HTTP/9.9 200 OK\r\n\r\n", State::malformed, false);
 }
 
-TEST(ResponseReaderTest, IncompleteResponses) {
-  expect("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhi", State::incomplete, true);
-  expect("HTTP/1.1 200 OK\r\nX-A: b\r\n", State::incomplete, true);
-  expect("HTTP/1.1 429 X\r\nContent-Length: 10\r\n\r\nhi", State::incomplete, false);
+TEST(ResponseReaderTest, IncompleteResponsesAreRecognized) {
+  expect_response("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhi", State::incomplete, true);
+  expect_response("HTTP/1.1 200 OK\r\nX-A: b\r\n", State::incomplete, true);
+  expect_response("HTTP/1.1 429 X\r\nContent-Length: 10\r\n\r\nhi", State::incomplete, false);
   ResponseReader reader;
-  const std::string half = "HTTP/1.1 429 X\r\nContent-Length: 10\r\n\r\nhi";
-  EXPECT_EQ(reader.append(half.data(), half.size()), State::incomplete);
+  const std::string unfinished = "HTTP/1.1 429 X\r\nContent-Length: 10\r\n\r\nhi";
+  EXPECT_EQ(reader.append(unfinished.data(), unfinished.size()), State::incomplete);
   EXPECT_EQ(reader.finish(), State::malformed);
-  ResponseReader to_the_end;
-  const std::string open = "HTTP/1.1 503 X\r\n\r\nhi";
-  EXPECT_EQ(to_the_end.append(open.data(), open.size()), State::incomplete);
-  EXPECT_EQ(to_the_end.finish(), State::complete);
-  EXPECT_FALSE(to_the_end.reusable());
+  ResponseReader until_close;
+  const std::string without_length = "HTTP/1.1 503 X\r\n\r\nhi";
+  EXPECT_EQ(until_close.append(without_length.data(), without_length.size()), State::incomplete);
+  EXPECT_EQ(until_close.finish(), State::complete);
+  EXPECT_FALSE(until_close.reusable());
 }
 
-// What follows a response must not be taken for the response to the next request.
+// Bytes that follow a response must not be taken for the response to the next request on the connection.
 TEST(ResponseReaderTest, ExcessBytesMakeTheConnectionUnusable) {
-  const std::string one = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
-  for (const std::string& behind : {one, std::string("\x01\x02"), std::string("\r\n")}) {
+  const std::string response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
+  for (const std::string& excess : {response, std::string("\x01\x02"), std::string("\r\n")}) {
     ResponseReader reader;
-    const std::string text = one + behind;
+    const std::string text = response + excess;
     EXPECT_EQ(reader.append(text.data(), text.size()), State::complete);
     EXPECT_EQ(reader.body(), "hi");
     EXPECT_FALSE(reader.reusable());
@@ -102,11 +109,11 @@
   };
   EXPECT_EQ(read("X-Load: x0=0.4,x1=25").load_report().remaining_fraction, 0.4);
   EXPECT_EQ(read("X-Load: x0=0.4,x1=25").load_report().rate_limit, 25);
-  for (const std::string& bad : {std::string("nan"), std::string("inf"), std::string("-1"),
-                                 std::string("4abc"), std::string(""), std::string("1e999")}) {
-    EXPECT_EQ(read_report(bad).remaining_fraction, dispatch::LoadReport{}.remaining_fraction) << bad;
-    EXPECT_EQ(read_report(bad).rate_limit, dispatch::LoadReport{}.rate_limit) << bad;
-    EXPECT_EQ(read("X-Come-Back-Ms: " + bad).retry_after(), 0) << bad;
+  for (const std::string& invalid : {std::string("nan"), std::string("inf"), std::string("-1"),
+                                     std::string("4abc"), std::string(""), std::string("1e999")}) {
+    EXPECT_EQ(read_report(invalid).remaining_fraction, dispatch::LoadReport{}.remaining_fraction) << invalid;
+    EXPECT_EQ(read_report(invalid).rate_limit, dispatch::LoadReport{}.rate_limit) << invalid;
+    EXPECT_EQ(read("X-Come-Back-Ms: " + invalid).retry_after(), 0) << invalid;
   }
   EXPECT_EQ(read("X-Come-Back-Ms: 250").retry_after(), 250'000);
 }
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,4 +1,4 @@
-// Stored data compatibility: what an earlier build wrote (tests/data/README.md) is read by this one.
+// Compatibility of stored data: this build reads what an earlier one wrote (see tests/data/README.md).
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -18,16 +18,16 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::uint64_t kJournalLimit = 3'000'000;
-constexpr std::uint64_t kTornBytes = 41;  // at the end of the stored journal
+constexpr std::uint64_t kJournalSizeLimit = 3'000'000;  // bytes
+constexpr std::uint64_t kTornBytes = 41;  // the incomplete record at the end of the stored journal
 constexpr Time kDeadline = 1'700'000'000'123'456;
 constexpr Time kFirstAttemptAt = 1'700'000'000'000'000;
 constexpr Time kLaterAttemptAt = 1'700'000'000'000'100;
-constexpr MessageId kLargeNumber = 4'000'000'007;  // does not fit into 32 bits as a signed number
+constexpr MessageId kLargeMessageId = 4'000'000'007;  // exceeds a signed 32-bit integer
 
 const std::string kDataFolder = MESSAGE_RELAY_TEST_DATA;
 
-std::string content(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   EXPECT_TRUE(in) << path;
   return {std::istreambuf_iterator<char>(in), {}};
@@ -73,10 +73,10 @@
 }
 
 Message keyed_and_ordered_message() {
-  Message both = message("both");
-  both.idempotency_key = "key-2";
-  both.order_key = "about-2";
-  return both;
+  Message keyed_and_ordered = message("both");
+  keyed_and_ordered.idempotency_key = "key-2";
+  keyed_and_ordered.order_key = "about-2";
+  return keyed_and_ordered;
 }
 
 Message message_without_body() {
@@ -104,7 +104,7 @@
   EXPECT_EQ(found.outcome, outcome);
 }
 
-// A folder with a copy of the stored journal, since opening one cuts off its torn end.
+// Works on a copy of the stored journal, since opening a journal truncates an incomplete record at its end.
 class StoredJournalTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -121,7 +121,7 @@
 
 TEST_F(StoredJournalTest, MessagesAreReadAsTheyWereWritten) {
   copy_stored_journal();
-  const Journal journal(folder, kJournalLimit);
+  const Journal journal(folder, kJournalSizeLimit);
   EXPECT_EQ(journal.dropped_bytes(), kTornBytes);
   ASSERT_EQ(journal.messages().size(), 6U);
   EXPECT_EQ(journal.unanswered_count(), 4U);
@@ -130,12 +130,12 @@
   expect_message(journal.messages().at(3).message, ordered_message());
   expect_message(journal.messages().at(4).message, keyed_and_ordered_message());
   expect_message(journal.messages().at(6).message, message("undeliverable"));
-  expect_message(journal.messages().at(kLargeNumber).message, message_without_body());
+  expect_message(journal.messages().at(kLargeMessageId).message, message_without_body());
 }
 
 TEST_F(StoredJournalTest, AttemptsAndOutcomesAreReadAsTheyWereWritten) {
   copy_stored_journal();
-  const Journal journal(folder, kJournalLimit);
+  const Journal journal(folder, kJournalSizeLimit);
   const std::vector<Attempt>& attempts = journal.messages().at(1).attempts;
   ASSERT_EQ(attempts.size(), kOutcomes.size() + 1);
   for (std::size_t i = 0; i < kOutcomes.size(); i++) {
@@ -145,14 +145,14 @@
   expect_attempt(attempts.back(), kLaterAttemptAt, -1, std::nullopt);
   ASSERT_EQ(journal.messages().at(2).attempts.size(), 1U);
   expect_attempt(journal.messages().at(2).attempts[0], kFirstAttemptAt + 200, 2, Outcome::rejected);
-  for (const MessageId untried : {MessageId{3}, MessageId{4}, MessageId{6}, kLargeNumber})
-    EXPECT_TRUE(journal.messages().at(untried).attempts.empty()) << untried;
+  for (const MessageId unattempted : {MessageId{3}, MessageId{4}, MessageId{6}, kLargeMessageId})
+    EXPECT_TRUE(journal.messages().at(unattempted).attempts.empty()) << unattempted;
 }
 
 TEST_F(StoredJournalTest, FinalAnswersAreReadAsTheyWereWritten) {
   copy_stored_journal();
-  const Journal journal(folder, kJournalLimit);
-  for (const MessageId open : {MessageId{1}, MessageId{2}, MessageId{3}, kLargeNumber})
+  const Journal journal(folder, kJournalSizeLimit);
+  for (const MessageId open : {MessageId{1}, MessageId{2}, MessageId{3}, kLargeMessageId})
     EXPECT_FALSE(journal.messages().at(open).final_answer.has_value()) << open;
   const std::optional<FinalAnswer>& deferred = journal.messages().at(4).final_answer;
   ASSERT_TRUE(deferred.has_value());
@@ -166,20 +166,20 @@
 
 TEST_F(StoredJournalTest, SuspendedEndpointsAreReadAsTheyWereWritten) {
   copy_stored_journal();
-  const Journal journal(folder, kJournalLimit);
+  const Journal journal(folder, kJournalSizeLimit);
   EXPECT_EQ(journal.suspended_endpoints(), (std::set<std::string>{"s-1", "s-3"}));
 }
 
-// An earlier build must be able to read what this one writes, should an upgrade be rolled back.
+// If an upgrade is rolled back, the earlier build must be able to read what this one wrote.
 TEST_F(StoredJournalTest, JournalWritesTheBytesOfTheEarlierBuild) {
-  Journal journal(folder, kJournalLimit);
+  Journal journal(folder, kJournalSizeLimit);
   journal.record_message(1, plain_message());
   journal.record_message(2, keyed_message());
   journal.record_message(3, ordered_message());
   journal.record_message(4, keyed_and_ordered_message());
   journal.record_message(5, message("over"));
   journal.record_message(6, message("undeliverable"));
-  journal.record_message(kLargeNumber, message_without_body());
+  journal.record_message(kLargeMessageId, message_without_body());
   for (std::size_t i = 0; i < kOutcomes.size(); i++) {
     const int number = static_cast<int>(i);
     journal.record_attempt(1, kFirstAttemptAt + number, number % 3);
@@ -198,12 +198,12 @@
   journal.record_suspension("s-3", SuspensionState::suspended);
   journal.record_suspension("s-2", SuspensionState::restored);
   ASSERT_TRUE(journal.commit());
-  const std::string stored = content(kDataFolder + "/journal");
+  const std::string stored = read_file(kDataFolder + "/journal");
   ASSERT_GT(stored.size(), kTornBytes);
-  EXPECT_TRUE(content(folder + "/journal") == stored.substr(0, stored.size() - kTornBytes));
+  EXPECT_TRUE(read_file(folder + "/journal") == stored.substr(0, stored.size() - kTornBytes));
 }
 
-// Settings of the same form as those under which the text was written: three classes, two kinds.
+// Settings with the same number of classes (three) and kinds (two) as those with which the text was written.
 dispatch::Settings stored_state_settings() {
   dispatch::Settings settings;
   settings.classes.resize(3);
@@ -224,20 +224,21 @@
           {.id = "g", .destination = 5}};
 }
 
-// The earlier build returns exactly this text, too, after it has restored it.
-TEST(StoredLearnedStateTest, IsReturnedAsItWasRestored) {
+// The learned state is returned exactly as it was restored. The earlier build returns the same text, too,
+// after it has restored it.
+TEST(StoredLearnedStateTest, IsReturnedUnchangedAfterItIsRestored) {
   constexpr Time written_at = 10'000'000;
-  const std::string stored = content(kDataFolder + "/learned_state.txt");
+  const std::string stored = read_file(kDataFolder + "/learned_state.txt");
   dispatch::Dispatcher dispatcher(stored_state_settings(), 1);
   std::vector<dispatch::Action> actions;
   dispatcher.handle(written_at, {dispatch::event::EndpointListSnapshot{stored_state_endpoints(), false}},
                     actions);
-  EXPECT_NE(dispatcher.learned_state(), stored) << "the text holds nothing but defaults";
+  EXPECT_NE(dispatcher.learned_state(), stored) << "the stored text has only default values";
   EXPECT_EQ(dispatcher.excluded_endpoint_count(), 0U);
   dispatcher.handle(written_at, {dispatch::event::LearnedStateRestored{stored}}, actions);
   EXPECT_EQ(dispatcher.learned_state(), stored);
   EXPECT_EQ(dispatcher.excluded_endpoint_count(), 2U)
-      << "b, whose calls failed, and g, which refused connects";
+      << "expected: b, whose calls failed, and g, which refused connections";
 }
 
 }  // namespace
