--- a/tests/delivery_client_test.cpp
+++ b/tests/delivery_client_test.cpp
@@ -13,10 +13,10 @@
 
 class DeliveryClientTest : public ::testing::Test {
  protected:
-  DeliveryClientTest() : endpoint(io, stay_silent) {
+  DeliveryClientTest() : endpoint(io, leave_unanswered) {
     const std::string address = endpoint.address();
     const auto port = std::stoi(address.substr(address.rfind(':') + 1));
-    calls.set_address("s-1", {net::ip::make_address(own_address()), static_cast<std::uint16_t>(port)});
+    calls.set_address("s-1", {net::ip::make_address(loopback_address()), static_cast<std::uint16_t>(port)});
   }
   static DeliveryLimits limits() {
     DeliveryLimits limits;
@@ -31,7 +31,7 @@
   }
   template <class Condition>
   void wait_for(Condition condition, const char* what) {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kConditionTimeout;
     while (!condition()) {
       ASSERT_LT(std::chrono::steady_clock::now(), until) << "waited in vain until " << what;
       io.restart();
@@ -40,7 +40,7 @@
   }
 
   net::io_context io;
-  Server endpoint;
+  FakeServer endpoint;
   std::vector<AttemptEnded> ended;
   DeliveryClient calls{io, limits(), [this](const AttemptEnded& e) { ended.push_back(e); }};
 };
@@ -49,8 +49,8 @@
 // would be in flight.
 TEST_F(DeliveryClientTest, AMessageGivenUpInABatchIsInFlightUntilTheCallEnds) {
   calls.send("s-1", {message(1, kLong), message(2, kLong)});
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-  EXPECT_EQ(endpoint.got[0].request.target(), "/events/bundle");
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
+  EXPECT_EQ(endpoint.received[0].request.target(), "/events/bundle");
   calls.cancel(1, 0);
   EXPECT_TRUE(ended.empty());
   EXPECT_EQ(calls.in_flight_count(), 1U);
@@ -58,16 +58,18 @@
   EXPECT_EQ(calls.in_flight_count(), 0U);
   ASSERT_EQ(ended.size(), 2U);
   for (const auto& e : ended) EXPECT_EQ(e.outcome, Outcome::cancelled);
-  wait_for([&] { return endpoint.sessions[0]->ended; }, "its connection is closed");
+  wait_for([&] { return endpoint.sessions[0]->closed; }, "its connection is closed");
 }
 
 // A response in time for the others counts for a message whose own timeout has passed, too.
 TEST_F(DeliveryClientTest, AResponseCountsForAMessageOfTheBatchThatTimedOut) {
   const Time sent = steady_now();
   calls.send("s-1", {message(1, kSoon), message(2, kLong)});
-  wait_for([&] { return endpoint.got.size() == 1 && steady_now() > sent + 2 * kSoon; }, "its time is over");
+  wait_for([&] { return endpoint.received.size() == 1 && steady_now() > sent + 2 * kSoon; },
+           "its time is over");
   EXPECT_TRUE(ended.empty());
-  endpoint.got[0].session->answer(200, "", R"([{"id":"m1","state":"done"},{"id":"m2","state":"busy"}])");
+  endpoint.received[0].session->respond(200, "",
+                                        R"([{"id":"m1","state":"done"},{"id":"m2","state":"busy"}])");
   wait_for([&] { return ended.size() == 2; }, "both have their end");
   EXPECT_EQ(ended[0].outcome, Outcome::succeeded);
   EXPECT_TRUE(ended[0].message_settled);
@@ -80,9 +82,9 @@
   auto first = message(1, kLong);
   first.time_to_deadline = kSoon;
   calls.send("s-1", {message(2, kLong), std::move(first)});
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-  EXPECT_EQ(endpoint.got[0].request["X-Deadline"], std::to_string(kSoon) + "u");
-  wait_for([&] { return endpoint.sessions[0]->ended; }, "its connection is closed");
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
+  EXPECT_EQ(endpoint.received[0].request["X-Deadline"], std::to_string(kSoon) + "u");
+  wait_for([&] { return endpoint.sessions[0]->closed; }, "its connection is closed");
   ASSERT_EQ(ended.size(), 2U);
   for (const auto& e : ended) EXPECT_EQ(e.outcome, Outcome::timeout);
 }
@@ -101,7 +103,7 @@
 // full.
 TEST_F(DeliveryClientTest, ARetryThatExpiresWhileConnectingIsNotSent) {
   tcp::acceptor full(io, tcp::v4());
-  full.bind({net::ip::make_address(own_address()), 0});
+  full.bind({net::ip::make_address(loopback_address()), 0});
   full.listen(0);
   tcp::socket first(io);
   first.connect(full.local_endpoint());
@@ -130,8 +132,8 @@
 // Decided in time but delayed, for instance by a disk that did not take the records.
 TEST_F(DeliveryClientTest, ARetryThatIsTooLateIsNotSentOnAnIdleConnectionEither) {
   calls.send("s-1", {message(1, kLong)});
-  wait_for([&] { return endpoint.got.size() == 1; }, "the first call");
-  endpoint.got[0].session->answer(200);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the first call");
+  endpoint.received[0].session->respond(200);
   wait_for([&] { return ended.size() == 1; }, "its answer");
   auto late = message(2, kLong);
   late.start_by = steady_now();
@@ -139,8 +141,8 @@
   wait_for([&] { return ended.size() == 2; }, "its end");
   EXPECT_EQ(ended[1].outcome, Outcome::not_sent);
   calls.send("s-1", {message(3, kLong)});
-  wait_for([&] { return endpoint.got.size() == 2; }, "the next call");
-  EXPECT_EQ(endpoint.got[1].request["X-Request-Id"], "m3");
+  wait_for([&] { return endpoint.received.size() == 2; }, "the next call");
+  EXPECT_EQ(endpoint.received[1].request["X-Request-Id"], "m3");
 }
 
 }  // namespace
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -30,7 +30,7 @@
   }
   // A second process, of the program just built, next to the running one, which becomes `first`.
   void start_beside() {
-    first = child;
+    first = relay_pid;
     program = MESSAGE_RELAY_PROGRAM;
     spawn(config());
   }
@@ -161,89 +161,89 @@
 // Calls out, clients' connections, the listening socket and what is held change hands; nothing ends, nothing
 // is sent twice.
 TEST_F(HandoverTest, ASecondProcessGoesOnWithAllThatTheFirstHad) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
   const auto client = connect();
   client->write(request("m1", kUnsafe));
-  wait_for([&] { return client->answers.size() == 1 && endpoint.got.size() == 1; }, "a call is out");
+  wait_for([&] { return client->responses.size() == 1 && endpoint.received.size() == 1; }, "a call is out");
   start_beside();
   wait_first_ends();
   client->write(request("m2", kUnsafe));
-  wait_for([&] { return client->answers.size() == 2; }, "the answer on the connection of before");
-  EXPECT_EQ(client->answers[1].result_int(), 202U);
-  EXPECT_EQ(hand_in("m1", kUnsafe), 202U);  // it is known here too
-  wait_for([&] { return endpoint.got.size() == 2; }, "the second call");
-  EXPECT_EQ(endpoint.got[1].request["X-Request-Id"], "m2");
-  EXPECT_FALSE(endpoint.got[0].session->ended);
-  for (const auto& got : std::vector<Got>(endpoint.got)) got.session->answer(200);
-  endpoint.on_request(answer_ok);
-  EXPECT_EQ(hand_in("m3", kSafe), 202U);
-  wait_for([&] { return endpoint.got.size() == 3; }, "the third call");
-  EXPECT_EQ(hand_in("m1", kUnsafe), 202U);  // over by now, and still known
-  ::kill(child, SIGTERM);
-  EXPECT_EQ(wait_exit(), 0);
-  EXPECT_EQ(endpoint.got.size(), 3U);
-  EXPECT_EQ(finals, "");
-  EXPECT_NE(logged().find("stopped: 0 messages left"), std::string::npos);
+  wait_for([&] { return client->responses.size() == 2; }, "the answer on the connection of before");
+  EXPECT_EQ(client->responses[1].result_int(), 202U);
+  EXPECT_EQ(submit("m1", kUnsafe), 202U);  // it is known here too
+  wait_for([&] { return endpoint.received.size() == 2; }, "the second call");
+  EXPECT_EQ(endpoint.received[1].request["X-Request-Id"], "m2");
+  EXPECT_FALSE(endpoint.received[0].session->closed);
+  for (const auto& got : std::vector<ReceivedRequest>(endpoint.received)) got.session->respond(200);
+  endpoint.on_request(respond_ok);
+  EXPECT_EQ(submit("m3", kSafe), 202U);
+  wait_for([&] { return endpoint.received.size() == 3; }, "the third call");
+  EXPECT_EQ(submit("m1", kUnsafe), 202U);  // over by now, and still known
+  ::kill(relay_pid, SIGTERM);
+  EXPECT_EQ(wait_for_exit(), 0);
+  EXPECT_EQ(endpoint.received.size(), 3U);
+  EXPECT_EQ(final_notices, "");
+  EXPECT_NE(log_text().find("stopped: 0 messages left"), std::string::npos);
 }
 
 // An answer of which the first process has read a part is read to its end by the second.
 TEST_F(HandoverTest, AnAnswerInPiecesIsReadOn) {
-  workers = 1;
-  endpoint.on_request([](const Got& g) { g.session->write("HTTP/1.1 2"); });
+  max_calls_in_flight = 1;
+  endpoint.on_request([](const ReceivedRequest& g) { g.session->write("HTTP/1.1 2"); });
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
+  EXPECT_EQ(submit("m1", kUnsafe), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   start_beside();
   wait_first_ends();
-  endpoint.got[0].session->write("00 OK\r\nContent-Length: 0\r\n\r\n");
-  EXPECT_EQ(hand_in("m2", kUnsafe), 202U);
-  wait_for([&] { return endpoint.got.size() == 2; }, "its slot is free");
-  EXPECT_EQ(finals, "");
+  endpoint.received[0].session->write("00 OK\r\nContent-Length: 0\r\n\r\n");
+  EXPECT_EQ(submit("m2", kUnsafe), 202U);
+  wait_for([&] { return endpoint.received.size() == 2; }, "its slot is free");
+  EXPECT_EQ(final_notices, "");
 }
 
 // A slot that a call of the first process holds is held.
 TEST_F(HandoverTest, ACallOutHoldsItsSlotAcross) {
-  workers = 1;
-  endpoint.on_request(stay_silent);
+  max_calls_in_flight = 1;
+  endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe, "x", "24000m"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
+  EXPECT_EQ(submit("m1", kUnsafe, "x", "24000m"), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   start_beside();
   wait_first_ends();
-  EXPECT_EQ(hand_in("m2", kUnsafe, "x", "24000m"), 202U);
-  EXPECT_EQ(hand_in("m3", kUnsafe, "x", "24000m"), 202U);
-  EXPECT_EQ(endpoint.got.size(), 1U);
-  endpoint.got[0].session->answer(200);
-  wait_for([&] { return endpoint.got.size() == 2; }, "the next call once it has ended");
+  EXPECT_EQ(submit("m2", kUnsafe, "x", "24000m"), 202U);
+  EXPECT_EQ(submit("m3", kUnsafe, "x", "24000m"), 202U);
+  EXPECT_EQ(endpoint.received.size(), 1U);
+  endpoint.received[0].session->respond(200);
+  wait_for([&] { return endpoint.received.size() == 2; }, "the next call once it has ended");
 }
 
 TEST_F(HandoverTest, AToldWaitBindsAcross) {
   std::chrono::steady_clock::time_point told;
-  endpoint.on_request([&](const Got& g) {
+  endpoint.on_request([&](const ReceivedRequest& g) {
     told = std::chrono::steady_clock::now();
-    g.session->answer(429, "X-Come-Back-Ms: 1500\r\n");
+    g.session->respond(429, "X-Come-Back-Ms: 1500\r\n");
   });
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe, "x", "24000m"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call that is told to wait");
+  EXPECT_EQ(submit("m1", kUnsafe, "x", "24000m"), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call that is told to wait");
   const auto until = told + std::chrono::milliseconds(1500);
-  endpoint.on_request(answer_ok);
-  EXPECT_EQ(hand_in("m2", kUnsafe, "x", "24000m"), 202U);
+  endpoint.on_request(respond_ok);
+  EXPECT_EQ(submit("m2", kUnsafe, "x", "24000m"), 202U);
   start_beside();
   wait_first_ends();
-  EXPECT_EQ(hand_in("m3", kUnsafe, "x", "24000m"), 202U);
-  wait_for([&] { return endpoint.got.size() == 2; }, "the next call");
+  EXPECT_EQ(submit("m3", kUnsafe, "x", "24000m"), 202U);
+  wait_for([&] { return endpoint.received.size() == 2; }, "the next call");
   EXPECT_GE(std::chrono::steady_clock::now(), until);
 }
 
 // Whatever the step at which the one that asks leaves, the owner goes on, and nothing is lost or sent twice.
 TEST_F(HandoverTest, AnAskerThatLeavesAtAnyStepChangesNothing) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
   const auto client = connect();
   client->write(request("m0", kUnsafe, "x", "24000m"));
-  wait_for([&] { return endpoint.got.size() == 1; }, "a call is out");
+  wait_for([&] { return endpoint.received.size() == 1; }, "a call is out");
   for (int step = 0; step < 4; step++) {
     {
       HandoverChannel channel = ask();
@@ -260,14 +260,14 @@
     }
     client->write(request("m" + std::to_string(step + 1), kUnsafe, "x", "24000m"));
     const auto answers = static_cast<std::size_t>(step) + 2;
-    wait_for([&] { return client->answers.size() == answers; }, "the answer of the owner");
-    EXPECT_EQ(client->answers.back().result_int(), 202U);
+    wait_for([&] { return client->responses.size() == answers; }, "the answer of the owner");
+    EXPECT_EQ(client->responses.back().result_int(), 202U);
   }
-  for (const auto& got : std::vector<Got>(endpoint.got)) got.session->answer(200);
-  endpoint.on_request(answer_ok);
-  wait_for([&] { return endpoint.got.size() == 5; }, "one call each");
-  EXPECT_EQ(health(), 200U);
-  EXPECT_EQ(finals, "");
+  for (const auto& got : std::vector<ReceivedRequest>(endpoint.received)) got.session->respond(200);
+  endpoint.on_request(respond_ok);
+  wait_for([&] { return endpoint.received.size() == 5; }, "one call each");
+  EXPECT_EQ(health_status(), 200U);
+  EXPECT_EQ(final_notices, "");
 }
 
 // Whatever the step at which the owner is killed, the one that asks starts as after any restart.
@@ -282,7 +282,7 @@
     {
       FileDescriptor lock(::open((folder + "/state/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
       ASSERT_EQ(::flock(lock.get(), LOCK_EX | LOCK_NB), 0);
-      members = member("s-1", endpoint.address());
+      endpoint_entries = endpoint_entry("s-1", endpoint.address());
       spawn(config());
       HandoverChannel channel(FileDescriptor(::accept(listening.get(), nullptr, nullptr)));
       EXPECT_TRUE(channel.receive_exactly(kHello));
@@ -297,33 +297,33 @@
       }
       listening = FileDescriptor();
     }
-    wait_for([&] { return health() == 200; }, "it is ready");
-    EXPECT_EQ(hand_in("m" + std::to_string(step), kSafe), 202U);
-    wait_for([&] { return endpoint.got.size() == static_cast<std::size_t>(step) + 1; }, "the call");
+    wait_for([&] { return health_status() == 200; }, "it is ready");
+    EXPECT_EQ(submit("m" + std::to_string(step), kSafe), 202U);
+    wait_for([&] { return endpoint.received.size() == static_cast<std::size_t>(step) + 1; }, "the call");
     // An orderly end: a process killed here may not have read the response, and the next one repeats the
     // call.
-    ::kill(child, SIGTERM);
-    EXPECT_EQ(wait_exit(), 0);
+    ::kill(relay_pid, SIGTERM);
+    EXPECT_EQ(wait_for_exit(), 0);
   }
 }
 
 // A process that stands still hands nothing over; the next one takes up what it held once it has ended, and a
 // call that was out may have run.
 TEST_F(HandoverTest, AnOwnerThatIsStuckIsWaitedFor) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe), 202U);
-  EXPECT_EQ(hand_in("m2", kSafe), 202U);
-  wait_for([&] { return endpoint.got.size() == 2; }, "both calls");
-  ::kill(child, SIGSTOP);
+  EXPECT_EQ(submit("m1", kUnsafe), 202U);
+  EXPECT_EQ(submit("m2", kSafe), 202U);
+  wait_for([&] { return endpoint.received.size() == 2; }, "both calls");
+  ::kill(relay_pid, SIGSTOP);
   start_beside();
   ::kill(first, SIGKILL);
   wait_for([&] { return ::waitpid(first, nullptr, WNOHANG) == first; }, "its end");
   first = -1;
-  wait_for([&] { return health() == 200; }, "the next one is ready");
-  wait_for([&] { return endpoint.got.size() == 3 && !finals.empty(); }, "what was held goes on");
-  EXPECT_EQ(endpoint.got[2].request["X-Request-Id"], "m2");
-  EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
+  wait_for([&] { return health_status() == 200; }, "the next one is ready");
+  wait_for([&] { return endpoint.received.size() == 3 && !final_notices.empty(); }, "what was held goes on");
+  EXPECT_EQ(endpoint.received[2].request["X-Request-Id"], "m2");
+  EXPECT_EQ(final_notices, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
 }
 
 // Many in a row, and clients that hand in all the while: each message is delivered once.
@@ -334,18 +334,18 @@
     start_beside();
     while (first > 0) {
       handed++;
-      EXPECT_EQ(hand_in("m" + std::to_string(handed), handed % 2 ? kSafe : kUnsafe), 202U);
+      EXPECT_EQ(submit("m" + std::to_string(handed), handed % 2 ? kSafe : kUnsafe), 202U);
       if (::waitpid(first, nullptr, WNOHANG) == first) first = -1;
     }
   }
-  wait_for([&] { return endpoint.got.size() >= handed; }, "every call");
-  ::kill(child, SIGTERM);
-  EXPECT_EQ(wait_exit(), 0);
+  wait_for([&] { return endpoint.received.size() >= handed; }, "every call");
+  ::kill(relay_pid, SIGTERM);
+  EXPECT_EQ(wait_for_exit(), 0);
   std::set<std::string> ids;
-  for (const auto& got : endpoint.got) ids.insert(std::string(got.request["X-Request-Id"]));
+  for (const auto& got : endpoint.received) ids.insert(std::string(got.request["X-Request-Id"]));
   for (std::size_t i = 1; i <= handed; i++) EXPECT_EQ(ids.count("m" + std::to_string(i)), 1U) << "m" << i;
-  EXPECT_EQ(endpoint.got.size(), handed);
-  EXPECT_EQ(finals, "");
+  EXPECT_EQ(endpoint.received.size(), handed);
+  EXPECT_EQ(final_notices, "");
 }
 
 }  // namespace
--- a/tests/operator_server_test.cpp
+++ b/tests/operator_server_test.cpp
@@ -22,9 +22,9 @@
 class OperatorsTest : public RelayTest {
  protected:
   OperatorsTest() {
-    tcp::acceptor probe(io, {net::ip::make_address(own_address()), 0});
+    tcp::acceptor probe(io, {net::ip::make_address(loopback_address()), 0});
     operator_port = probe.local_endpoint().port();
-    more = R"(,"operator":")" + own_address() + ":" + std::to_string(operator_port) + R"(")";
+    extra_config = R"(,"operator":")" + loopback_address() + ":" + std::to_string(operator_port) + R"(")";
   }
   struct Caller {
     explicit Caller(net::io_context& io) : socket(io) {}
@@ -35,7 +35,7 @@
   std::shared_ptr<Caller> call(const std::string& bytes, bool end_sending = false) {
     const auto caller = std::make_shared<Caller>(io);
     error_code bad;
-    caller->socket.connect({net::ip::make_address(own_address()), operator_port}, bad);
+    caller->socket.connect({net::ip::make_address(loopback_address()), operator_port}, bad);
     if (!bad) net::write(caller->socket, net::buffer(bytes), bad);
     if (end_sending) caller->socket.shutdown(tcp::socket::shutdown_send, bad);
     net::async_read(caller->socket, net::dynamic_buffer(caller->reply),
@@ -99,9 +99,9 @@
 }
 
 TEST_F(OperatorsTest, WithoutItsAddressTheRelayRunsAsBefore) {
-  more.clear();
+  extra_config.clear();
   start();
-  EXPECT_EQ(hand_in("m1", kSafe), 202U);
+  EXPECT_EQ(submit("m1", kSafe), 202U);
 }
 
 TEST_F(OperatorsTest, FiguresStartAtNothingAndCountEachEndOnce) {
@@ -112,23 +112,23 @@
       EXPECT_NE(first.find("svc." + name + "." + cls + "=0\n"), std::string::npos) << name;
   EXPECT_TRUE(first.ends_with("\nEND\n"));
   EXPECT_TRUE(figure("discovered=1"));
-  EXPECT_EQ(hand_in("m1", kSafe), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
+  EXPECT_EQ(submit("m1", kSafe), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   wait_for([&] { return figure("outstanding=0"); }, "its end");
   EXPECT_TRUE(figure(std::string("succeeded.") + kSafe + "=1"));
   EXPECT_TRUE(figure("forwards=1"));
-  endpoint.on_request([](const Got& g) { g.session->close(); });
-  EXPECT_EQ(hand_in("m2", kUnsafe), 202U);
+  endpoint.on_request([](const ReceivedRequest& g) { g.session->close(); });
+  EXPECT_EQ(submit("m2", kUnsafe), 202U);
   wait_for([&] { return figure(std::string("aborted.") + kUnsafe + "=1"); }, "the failure is counted");
   EXPECT_TRUE(figure("forwards=2"));
   EXPECT_TRUE(figure(std::string("succeeded.") + kUnsafe + "=0"));
 }
 
 TEST_F(OperatorsTest, WhatIsRefusedAtTheDoorIsDeclined) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
   int refused = 0;
-  for (int i = 0; i < 60; i++) refused += hand_in("m" + std::to_string(i), kUnsafe, "x", "24000m") == 503;
+  for (int i = 0; i < 60; i++) refused += submit("m" + std::to_string(i), kUnsafe, "x", "24000m") == 503;
   wait_for([&] { return figure(std::string("declined.") + kUnsafe + "=" + std::to_string(refused)); },
            "the count");
   EXPECT_TRUE(figure("outstanding=" + std::to_string(60 - refused)));
@@ -136,32 +136,32 @@
 
 // Left out whatever discovery says of it, across the end of the process, until it is called back.
 TEST_F(OperatorsTest, ASuspendedEndpointGetsNothingUntilItIsRestored) {
-  Server other(io, answer_ok);
-  members = member("s-1", endpoint.address()) + "," + member("s-2", other.address());
+  FakeServer other(io, respond_ok);
+  endpoint_entries = endpoint_entry("s-1", endpoint.address()) + "," + endpoint_entry("s-2", other.address());
   start();
   EXPECT_TRUE(yes(operate("SUSPEND s-1\n")));
   EXPECT_TRUE(yes(operate("SUSPEND s-1\n")));
   EXPECT_TRUE(figure("ejected=1"));
   std::size_t handed = 0;
   const auto hand_in_some = [&] {
-    for (int i = 0; i < 12; i++, handed++) EXPECT_EQ(hand_in("m" + std::to_string(handed), kSafe), 202U);
-    wait_for([&] { return other.got.size() + endpoint.got.size() == handed; }, "the calls");
+    for (int i = 0; i < 12; i++, handed++) EXPECT_EQ(submit("m" + std::to_string(handed), kSafe), 202U);
+    wait_for([&] { return other.received.size() + endpoint.received.size() == handed; }, "the calls");
   };
   hand_in_some();
-  tell(list(member("s-1", endpoint.address(), "draining"), false));
-  tell(list(members));
+  send_watch_line(endpoint_list(endpoint_entry("s-1", endpoint.address(), "draining"), false));
+  send_watch_line(endpoint_list(endpoint_entries));
   hand_in_some();
   kill_relay();
   start();
   EXPECT_TRUE(figure("ejected=1"));
   hand_in_some();
-  EXPECT_EQ(endpoint.got.size(), 0U);
+  EXPECT_EQ(endpoint.received.size(), 0U);
   EXPECT_TRUE(yes(operate("RESTORE s-1\n")));
   EXPECT_TRUE(yes(operate("RESTORE s-1\n")));
   EXPECT_TRUE(figure("ejected=0"));
   EXPECT_TRUE(yes(operate("SUSPEND s-2\n")));
-  EXPECT_EQ(hand_in("last", kSafe), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call to the one that is back");
+  EXPECT_EQ(submit("last", kSafe), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call to the one that is back");
   kill_relay();
   start();
   EXPECT_TRUE(figure("ejected=1"));
@@ -169,48 +169,48 @@
 
 // A message whose call failed and waits to be sent again does not go there once its endpoint is suspended.
 TEST_F(OperatorsTest, ARetryThatIsDueDoesNotGoToASuspendedEndpoint) {
-  endpoint.on_request([](const Got& g) { g.session->answer(503); });
+  endpoint.on_request([](const ReceivedRequest& g) { g.session->respond(503); });
   start();
-  EXPECT_EQ(hand_in("m1", kUnsafe, "x", "24000m"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the first call");
+  EXPECT_EQ(submit("m1", kUnsafe, "x", "24000m"), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the first call");
   EXPECT_TRUE(yes(operate("SUSPEND s-1\n")));
-  const auto calls = endpoint.got.size();
-  Server other(io, answer_ok);
-  tell(list(member("s-2", other.address()), false));
-  wait_for([&] { return !other.got.empty(); }, "the retry goes elsewhere");
-  EXPECT_EQ(endpoint.got.size(), calls);
+  const auto calls = endpoint.received.size();
+  FakeServer other(io, respond_ok);
+  send_watch_line(endpoint_list(endpoint_entry("s-2", other.address()), false));
+  wait_for([&] { return !other.received.empty(); }, "the retry goes elsewhere");
+  EXPECT_EQ(endpoint.received.size(), calls);
 }
 
 TEST_F(OperatorsTest, PauseSendsClientsAwayUntilResume) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
   const auto idle = connect();
   idle->write(request("m1", kSafe));
-  wait_for([&] { return idle->answers.size() == 1; }, "the answer");
+  wait_for([&] { return idle->responses.size() == 1; }, "the answer");
   const auto half = connect();
   const std::string whole = request("m2", kSafe);
   half->write(whole.substr(0, 40));
-  EXPECT_EQ(hand_in("m3", kSafe), 202U);  // by now half of m2 has been read
+  EXPECT_EQ(submit("m3", kSafe), 202U);  // by now half of m2 has been read
   EXPECT_TRUE(yes(operate("PAUSE\n")));
   EXPECT_TRUE(yes(operate("PAUSE\n")));
-  wait_for([&] { return idle->ended; }, "the idle connection closes");
-  EXPECT_EQ(health(), 503U);
+  wait_for([&] { return idle->closed; }, "the idle connection closes");
+  EXPECT_EQ(health_status(), 503U);
   EXPECT_TRUE(no(operate("STATUS\n")));
   half->write(whole.substr(40));
-  wait_for([&] { return half->ended; }, "the one with a request closes after its answer");
-  ASSERT_EQ(half->answers.size(), 1U);
-  EXPECT_EQ(half->answers[0].result_int(), 202U);
-  EXPECT_EQ(hand_in("m4", kSafe), 202U);  // a new one is still answered
-  wait_for([&] { return endpoint.got.size() == 4; }, "held messages go on");
+  wait_for([&] { return half->closed; }, "the one with a request closes after its answer");
+  ASSERT_EQ(half->responses.size(), 1U);
+  EXPECT_EQ(half->responses[0].result_int(), 202U);
+  EXPECT_EQ(submit("m4", kSafe), 202U);  // a new one is still answered
+  wait_for([&] { return endpoint.received.size() == 4; }, "held messages go on");
   EXPECT_TRUE(yes(operate("RESUME\n")));
   EXPECT_TRUE(yes(operate("RESUME\n")));
-  EXPECT_EQ(health(), 200U);
+  EXPECT_EQ(health_status(), 200U);
   EXPECT_TRUE(yes(operate("STATUS\n")));
   const auto kept = connect();
   kept->write(request("m5", kSafe));
-  wait_for([&] { return kept->answers.size() == 1; }, "the answer");
+  wait_for([&] { return kept->responses.size() == 1; }, "the answer");
   kept->write(request("m6", kSafe));
-  wait_for([&] { return kept->answers.size() == 2; }, "the answer on the same connection");
+  wait_for([&] { return kept->responses.size() == 2; }, "the answer on the same connection");
 }
 
 }  // namespace
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -41,11 +41,11 @@
 }
 const std::string kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-tcp::endpoint where(const Server& server) { return read_address(server.address(), "test"); }
+tcp::endpoint where(const FakeServer& server) { return read_address(server.address(), "test"); }
 
 class PlatformTest : public ::testing::Test {
  protected:
-  PlatformTest() : agent(io, [this](const Got& g) { asked.push_back(g); }) {}
+  PlatformTest() : agent(io, [this](const ReceivedRequest& g) { asked.push_back(g); }) {}
   void begin(std::chrono::microseconds answer, std::chrono::microseconds silent,
              std::chrono::microseconds notice = kLong) {
     platform.emplace(
@@ -56,7 +56,7 @@
   }
   template <class Condition>
   void wait_for(Condition condition, const char* what) {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kConditionTimeout;
     while (!condition()) {
       ASSERT_LT(std::chrono::steady_clock::now(), until) << "waited in vain until " << what;
       io.restart();
@@ -71,8 +71,8 @@
   }
 
   net::io_context io;
-  Server agent;
-  std::vector<Got> asked;
+  FakeServer agent;
+  std::vector<ReceivedRequest> asked;
   configuration::SettingNames names;
   std::vector<EndpointList> lists;
   std::vector<SubscriptionLossReason> lost;
@@ -111,7 +111,7 @@
 
 // A list that still comes from the former address after discovery has moved is dropped.
 TEST_F(PlatformTest, AListFromTheFormerAddressIsDropped) {
-  Server moved(io, [this](const Got& g) { asked.push_back(g); });
+  FakeServer moved(io, [this](const ReceivedRequest& g) { asked.push_back(g); });
   begin(kLong, kLong);
   wait_for([&] { return asked.size() == 1; }, "the watch");
   asked[0].session->write(kHead + chunk(list(42)));
@@ -128,7 +128,7 @@
 // After a move, a snapshot is queried where only changes came. Should that fail, it is as overdue as what a
 // watch without data has missed, and must not wait for the backoff after a watch that has just failed.
 TEST_F(PlatformTest, ASnapshotThatFailsAfterAMoveIsReportedAsTimedOut) {
-  Server moved(io, [this](const Got& g) { asked.push_back(g); });
+  FakeServer moved(io, [this](const ReceivedRequest& g) { asked.push_back(g); });
   begin(kLong, kLong);
   platform->relocate(where(moved));
   platform->watch();
@@ -150,13 +150,13 @@
   for (int attempt = 0; attempt < 20 && !in_time; attempt++) {
     asked.clear();
     lost.clear();
-    agent.on_request([&](const Got& g) {
+    agent.on_request([&](const ReceivedRequest& g) {
       if (g.request.method() == http::verb::post) asked.push_back(g);
     });
     begin(std::chrono::milliseconds(800), kLong, kShort);  // the watch that nobody answers tells the time
     platform->send_final_notice(1, "m1", {});
     wait_for([&] { return asked.size() == 1; }, "the first notice");
-    asked[0].session->answer(204);
+    asked[0].session->respond(204);
     wait_for([&] { return !platform->has_pending_notices(); }, "its answer");
     platform->send_final_notice(2, "m2", {});
     wait_for([&] { return asked.size() == 2; }, "the second on the same connection");
@@ -173,17 +173,17 @@
 class CachedListTest : public RelayTest {
  protected:
   CachedListTest() {
-    list_mode = "automatic";
-    relays = 300;
+    discovery_mode = "automatic";
+    relay_count = 300;
   }
   // Runs a process that accepts m1 while no endpoint may be sent anything, and ends it.
   void leave_one_unattempted() {
-    members = member("s-1", endpoint.address(), "draining");
+    endpoint_entries = endpoint_entry("s-1", endpoint.address(), "draining");
     spawn(config());
-    wait_for([&] { return logged().find("draining or removed: s-1") != std::string::npos; }, "its list");
-    EXPECT_EQ(hand_in("m1", "load-status"), 202U);
+    wait_for([&] { return log_text().find("draining or removed: s-1") != std::string::npos; }, "its list");
+    EXPECT_EQ(submit("m1", "load-status"), 202U);
     kill_relay();
-    members = member("s-1", endpoint.address());
+    endpoint_entries = endpoint_entry("s-1", endpoint.address());
   }
 };
 
@@ -191,79 +191,80 @@
 // the agent's list, provided that it comes within the hold time: a machine too slow for that shows in the
 // log, and the test runs again.
 TEST_F(CachedListTest, RecoveredMessagesWaitForTheAgentsList) {
-  Server other(io, answer_ok);
+  FakeServer other(io, respond_ok);
   for (int attempt = 0; attempt < 50; attempt++) {
     std::filesystem::remove_all(folder + "/state");
     std::filesystem::create_directories(folder + "/state");
-    platform.on_request([this](const Got& g) { on_platform(g); });
+    platform.on_request([this](const ReceivedRequest& g) { handle_platform_request(g); });
     leave_one_unattempted();
     std::filesystem::remove(folder + "/log");
-    platform.on_request([&](const Got& g) {
-      g.session->write(kHead + chunk(list(member("s-1", endpoint.address(), "draining") + "," +
-                                          member("s-2", other.address()))));
+    platform.on_request([&](const ReceivedRequest& g) {
+      g.session->write(kHead + chunk(endpoint_list(endpoint_entry("s-1", endpoint.address(), "draining") +
+                                                   "," + endpoint_entry("s-2", other.address()))));
     });
-    other.got.clear();
+    other.received.clear();
     spawn(config());  // its known list: s-1 is ready
-    wait_for([&] { return !other.got.empty() || !endpoint.got.empty(); }, "a call");
-    if (logged().find("endpoint_list_cached_in_use") == std::string::npos) break;
+    wait_for([&] { return !other.received.empty() || !endpoint.received.empty(); }, "a call");
+    if (log_text().find("endpoint_list_cached_in_use") == std::string::npos) break;
     kill_relay();
   }
-  EXPECT_EQ(logged().find("endpoint_list_cached_in_use"), std::string::npos);
-  EXPECT_TRUE(endpoint.got.empty()) << "it was sent to a draining endpoint";
-  ASSERT_FALSE(other.got.empty());
-  EXPECT_EQ(other.got[0].request["X-Request-Id"], "m1");
+  EXPECT_EQ(log_text().find("endpoint_list_cached_in_use"), std::string::npos);
+  EXPECT_TRUE(endpoint.received.empty()) << "it was sent to a draining endpoint";
+  ASSERT_FALSE(other.received.empty());
+  EXPECT_EQ(other.received[0].request["X-Request-Id"], "m1");
 }
 
 // While discovery is down the agent does not respond: the cached list is used.
 TEST_F(CachedListTest, IsUsedWhileTheAgentDoesNotRespond) {
-  platform.on_request(stay_silent);
+  platform.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(hand_in("m1", "load-status"), 202U);
-  wait_for([&] { return !endpoint.got.empty(); }, "the call");
-  EXPECT_NE(logged().find("endpoint_list_cached_in_use"), std::string::npos);
-  wait_for([&] { return platform.got.size() >= 3; }, "the agent is asked on");
+  EXPECT_EQ(submit("m1", "load-status"), 202U);
+  wait_for([&] { return !endpoint.received.empty(); }, "the call");
+  EXPECT_NE(log_text().find("endpoint_list_cached_in_use"), std::string::npos);
+  wait_for([&] { return platform.received.size() >= 3; }, "the agent is asked on");
 }
 
 // The configuration moves discovery while the first watch has no response yet: a watch at the new address is
 // begun at once, and a list from the former one is dropped.
 TEST_F(CachedListTest, AMoveDuringTheFirstWatchIsFollowed) {
-  Server other(io, answer_ok);
-  Server moved(io,
-               [&](const Got& g) { g.session->write(kHead + chunk(list(member("s-2", other.address())))); });
-  platform.on_request(stay_silent);
+  FakeServer other(io, respond_ok);
+  FakeServer moved(io, [&](const ReceivedRequest& g) {
+    g.session->write(kHead + chunk(endpoint_list(endpoint_entry("s-2", other.address()))));
+  });
+  platform.on_request(leave_unanswered);
   start();
-  wait_for([&] { return !platform.got.empty(); }, "the first call");
-  const auto first = platform.got[0].session;
+  wait_for([&] { return !platform.received.empty(); }, "the first call");
+  const auto first = platform.received[0].session;
   reload(config(moved.address()));
-  wait_for([&] { return logged().find("snapshot, 1 endpoints") != std::string::npos; },
+  wait_for([&] { return log_text().find("snapshot, 1 endpoints") != std::string::npos; },
            "the new address's list");
-  first->write(kHead + chunk(list(member("s-1", endpoint.address()))));
-  EXPECT_EQ(hand_in("m1", "load-status"), 202U);
-  wait_for([&] { return !other.got.empty() || !endpoint.got.empty(); }, "the call");
-  EXPECT_TRUE(endpoint.got.empty()) << "the new list does not name it";
+  first->write(kHead + chunk(endpoint_list(endpoint_entry("s-1", endpoint.address()))));
+  EXPECT_EQ(submit("m1", "load-status"), 202U);
+  wait_for([&] { return !other.received.empty() || !endpoint.received.empty(); }, "the call");
+  EXPECT_TRUE(endpoint.received.empty()) << "the new list does not name it";
 }
 
 // During an outage the agent accepts connections and does not respond. The list it has at its return is
 // binding at once, so it must be queried soon.
 TEST_F(CachedListTest, TheAgentsListIsQueriedSoonAfterAnOutage) {
-  Server other(io, answer_ok);
+  FakeServer other(io, respond_ok);
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
-  platform.on_request(stay_silent);
-  const auto before = platform.got.size();
+  platform.on_request(leave_unanswered);
+  const auto before = platform.received.size();
   watches[0]->close();
-  wait_for([&] { return platform.got.size() >= before + 3; }, "calls for the list through the outage");
-  EXPECT_EQ(hand_in("m1", "load-status"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "service by what is known");
-  platform.on_request([&](const Got& g) {
-    g.session->write(kHead + chunk(list(member("s-1", endpoint.address(), "draining") + "," +
-                                        member("s-2", other.address()))));
+  wait_for([&] { return platform.received.size() >= before + 3; }, "calls for the list through the outage");
+  EXPECT_EQ(submit("m1", "load-status"), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "service by what is known");
+  platform.on_request([&](const ReceivedRequest& g) {
+    g.session->write(kHead + chunk(endpoint_list(endpoint_entry("s-1", endpoint.address(), "draining") + "," +
+                                                 endpoint_entry("s-2", other.address()))));
   });
-  wait_for([&] { return logged().find("draining or removed: s-1") != std::string::npos; },
+  wait_for([&] { return log_text().find("draining or removed: s-1") != std::string::npos; },
            "the list at its return");
-  EXPECT_EQ(hand_in("m2", "load-status"), 202U);
-  wait_for([&] { return !other.got.empty(); }, "the call goes elsewhere");
-  EXPECT_EQ(endpoint.got.size(), 1U);
+  EXPECT_EQ(submit("m2", "load-status"), 202U);
+  wait_for([&] { return !other.received.empty(); }, "the call goes elsewhere");
+  EXPECT_EQ(endpoint.received.size(), 1U);
 }
 
 }  // namespace
--- a/tests/relay_harness.hpp
+++ b/tests/relay_harness.hpp
@@ -1,5 +1,6 @@
-// The real program as a child process, among fake clients, endpoints and a fake platform on loopback sockets.
-// One thread and one event loop: a test waits for conditions, never for a fixed time.
+// Fixture for tests of the relay program. The program runs as a child process. The test plays its clients,
+// its endpoints and the platform over loopback sockets. The test has a single thread and a single event loop,
+// and waits for conditions, never for a fixed time.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -34,23 +35,26 @@
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 
-constexpr auto kPatience = std::chrono::seconds(30);
+// How long a test waits for one condition before it fails.
+constexpr auto kConditionTimeout = std::chrono::seconds(30);
 
-// An address of this process alone, so that tests run beside one another.
-inline std::string own_address() {
+// Returns a loopback address derived from the process id, so that tests can run in parallel.
+inline std::string loopback_address() {
   const auto pid = ::getpid();
   return "127." + std::to_string(60 + (pid >> 16) % 60) + "." + std::to_string((pid >> 8) % 256) + "." +
          std::to_string(1 + pid % 254);
 }
 
-// What a server got, and the connection to answer it on.
+// A connection that a FakeServer has accepted.
 struct Session : std::enable_shared_from_this<Session> {
-  explicit Session(tcp::socket s) : socket(std::move(s)) {}
+  explicit Session(tcp::socket accepted) : socket(std::move(accepted)) {}
+  // Sends `bytes` as they are.
   void write(const std::string& bytes) {
     error_code ignored;
     net::write(socket, net::buffer(bytes), ignored);
   }
-  void answer(unsigned status, const std::string& headers = "", const std::string& body = "") {
+  // Sends a complete HTTP response. Each line of `headers` must end with CRLF.
+  void respond(unsigned status, const std::string& headers = "", const std::string& body = "") {
     write("HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
           "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
@@ -60,37 +64,43 @@
   }
   tcp::socket socket;
   beast::flat_buffer buffer;
-  bool ended = false;  // the other side is gone
+  bool closed = false;  // the connection was closed by either side
 };
-struct Got {
+
+// A request that a FakeServer has received, and the connection on which to respond.
+struct ReceivedRequest {
   Request request;
   std::shared_ptr<Session> session;
 };
 
-class Server {
+// An HTTP server that records each request and passes it to a handler.
+class FakeServer {
  public:
-  using Handler = std::function<void(const Got&)>;
-  Server(net::io_context& io, Handler handler)
-      : acceptor_(io, {net::ip::make_address(own_address()), 0}), handler_(std::move(handler)) {
+  using Handler = std::function<void(const ReceivedRequest&)>;
+  FakeServer(net::io_context& io, Handler handler)
+      : acceptor_(io, {net::ip::make_address(loopback_address()), 0}), handler_(std::move(handler)) {
     accept();
   }
+  // Returns the listening address as "host:port".
   std::string address() const {
-    return own_address() + ":" + std::to_string(acceptor_.local_endpoint().port());
+    return loopback_address() + ":" + std::to_string(acceptor_.local_endpoint().port());
   }
+  // Replaces the handler.
   void on_request(Handler handler) { handler_ = std::move(handler); }
-  void shut() {
+  // Stops listening and closes all connections.
+  void stop() {
     error_code ignored;
     acceptor_.close(ignored);
-    for (const auto& s : sessions) s->close();
+    for (const auto& session : sessions) session->close();
   }
 
-  std::vector<Got> got;
-  std::vector<std::shared_ptr<Session>> sessions;
+  std::vector<ReceivedRequest> received;           // in the order of arrival
+  std::vector<std::shared_ptr<Session>> sessions;  // all accepted connections, also closed ones
 
  private:
   void accept() {
-    acceptor_.async_accept([this](error_code bad, tcp::socket socket) {
-      if (bad) return;
+    acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+      if (error) return;
       sessions.push_back(std::make_shared<Session>(std::move(socket)));
       read(sessions.back());
       accept();
@@ -99,13 +109,13 @@
   void read(const std::shared_ptr<Session>& session) {
     const auto request = std::make_shared<Request>();
     http::async_read(session->socket, session->buffer, *request,
-                     [this, session, request](error_code bad, auto) {
-                       if (bad) {
-                         session->ended = true;
+                     [this, session, request](error_code error, auto) {
+                       if (error) {
+                         session->closed = true;
                          return;
                        }
-                       got.push_back({*request, session});
-                       handler_(got.back());
+                       received.push_back({*request, session});
+                       handler_(received.back());
                        read(session);
                      });
   }
@@ -113,33 +123,39 @@
   Handler handler_;
 };
 
-inline void answer_ok(const Got& g) { g.session->answer(200); }
-inline void stay_silent(const Got&) {}
+// Handlers for FakeServer.
+inline void respond_ok(const ReceivedRequest& call) { call.session->respond(200); }
+inline void leave_unanswered(const ReceivedRequest&) {}
 
-// One client connection. A read that is under way keeps it, though the test may have let it go.
+// A client's connection to the relay. A pending read holds a reference to it, so that the test may release
+// its own reference at any time.
 class Client : public std::enable_shared_from_this<Client> {
  public:
   explicit Client(tcp::socket socket) : socket_(std::move(socket)) {}
+  // Sends `bytes` as they are.
   void write(const std::string& bytes) {
     error_code ignored;
     net::write(socket_, net::buffer(bytes), ignored);
   }
-  void end_sending() { socket_.shutdown(tcp::socket::shutdown_send); }
+  // Closes the sending direction only.
+  void shutdown_send() { socket_.shutdown(tcp::socket::shutdown_send); }
   void close() {
     error_code ignored;
     socket_.close(ignored);
   }
+  // Reads responses until the connection is closed.
   void read() {
-    const auto answer = std::make_shared<Response>();
-    http::async_read(socket_, buffer_, *answer, [self = shared_from_this(), answer](error_code bad, auto) {
-      self->ended = bool(bad);
-      if (bad) return;
-      self->answers.push_back(*answer);
-      self->read();
-    });
+    const auto response = std::make_shared<Response>();
+    http::async_read(socket_, buffer_, *response,
+                     [self = shared_from_this(), response](error_code error, auto) {
+                       self->closed = bool(error);
+                       if (error) return;
+                       self->responses.push_back(*response);
+                       self->read();
+                     });
   }
-  std::vector<Response> answers;
-  bool ended = false;
+  std::vector<Response> responses;
+  bool closed = false;  // the connection was closed by either side
 
  private:
   tcp::socket socket_;
@@ -148,84 +164,96 @@
 
 class RelayTest : public ::testing::Test {
  protected:
-  RelayTest() : endpoint(io, answer_ok), platform(io, [this](const Got& g) { on_platform(g); }) {
+  RelayTest()
+      : endpoint(io, respond_ok),
+        platform(io, [this](const ReceivedRequest& call) { handle_platform_request(call); }) {
     const auto base =
         std::filesystem::temp_directory_path() / ("message_relay-test-" + std::to_string(::getpid()));
     folder = base.string();
     std::filesystem::remove_all(folder);
     std::filesystem::create_directories(folder + "/state");
-    tcp::acceptor probe(io, {net::ip::make_address(own_address()), 0});
+    tcp::acceptor probe(io, {net::ip::make_address(loopback_address()), 0});
     port = probe.local_endpoint().port();
   }
   ~RelayTest() override {
-    if (child > 0) ::kill(child, SIGKILL), ::waitpid(child, nullptr, 0);
+    if (relay_pid > 0) {
+      ::kill(relay_pid, SIGKILL);
+      ::waitpid(relay_pid, nullptr, 0);
+    }
     std::filesystem::remove_all(folder);
   }
 
-  // ---- The program. ----
+  // ---- The configuration of the relay. ----
   virtual std::string limits() { return R"({"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":3})"; }
   std::string settings() {
     return R"({"Classes":[{"Name":"load-status","Points":1.0,"Target":1000000,"Deadline":6000000,)"
            R"("Idempotency":"read_like"},{"Name":"pay-and-order","Points":3.0,"Target":2000000,)"
            R"("Deadline":24000000,"Idempotency":"non_idempotent","LateWorth":0.3})" +
-           more_classes + R"(],"FamilyInfo":{"Workers":)" + std::to_string(workers) +
+           extra_classes + R"(],"FamilyInfo":{"Workers":)" + std::to_string(max_calls_in_flight) +
            R"(,"BundleMax":[20,1],"RoutesApart":[true,false],"Decay":"halves"},)"
            R"("HostTypes":["big","small"],"FailureDomains":["a","b"],"Locality":"a",)"
            R"("Limits":{"OpenCap":40,"MaxAttempts":8,"Cancelling":true,"Peers":true,"ConnIdle":5000000,)"
            R"("ConnectTimeout":1500000,"MaxRetryAfter":2000000},"Discovery":")" +
-           list_mode + R"(","GroupSize":)" + std::to_string(relays) +
+           discovery_mode + R"(","GroupSize":)" + std::to_string(relay_count) +
            R"(,)"
            R"("Rules":{"AnswerSlack":20000,"DrainGrace":1000000,"MustAskIn":10000000},"Tick":5000})";
   }
-  std::string member(const std::string& name, const std::string& address, const std::string& status = "ready",
-                     const std::string& type = "small") {
+  // An entry of the endpoint list, for an endpoint of destination 7.
+  std::string endpoint_entry(const std::string& name, const std::string& address,
+                             const std::string& status = "ready", const std::string& type = "small") {
     return R"({"name":")" + name + R"(","address":")" + address + R"(","zone":"a","type":")" + type +
            R"(","group":7,"status":")" + status + R"(","weight":1.0,"since_ms":0})";
   }
-  std::string list(const std::string& entries, bool whole = true) {
-    return R"({"index":41,"snapshot":)" + std::string(whole ? "true" : "false") + R"(,"endpoints":[)" +
+  // An endpoint list of entries separated by commas: a snapshot, or else changes only.
+  std::string endpoint_list(const std::string& entries, bool snapshot = true) {
+    return R"({"index":41,"snapshot":)" + std::string(snapshot ? "true" : "false") + R"(,"endpoints":[)" +
            entries + "]}";
   }
   std::string config() { return config(platform.address()); }
   std::string config(const std::string& discovery) {
-    const std::string own = own_address() + ":" + std::to_string(port);
-    return R"({"name":"n0","listen":")" + own + R"(","discovery":")" + discovery +
-           R"(","seed":"8c1f30d27a5be964","limits":)" + limits() + R"(,"known":)" + list(members) +
-           R"(,"settings":)" + settings() + more + "}";
-  }
-  // As a system does that knows neither: in this process and what it becomes.
-  static bool refuse_locks_and_local_sockets() {
-    constexpr auto number = static_cast<__u32>(offsetof(seccomp_data, nr));
-    constexpr auto family = static_cast<__u32>(offsetof(seccomp_data, args));
-    sock_filter rules[] = {BPF_STMT(BPF_LD | BPF_W | BPF_ABS, number),
-                           BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_flock, 3, 0),
-                           BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_socket, 0, 3),
-                           BPF_STMT(BPF_LD | BPF_W | BPF_ABS, family),
-                           BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, AF_UNIX, 0, 1),
-                           BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ERRNO | ENOSYS),
-                           BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW)};
-    const sock_fprog all{static_cast<unsigned short>(std::size(rules)), rules};
+    const std::string listen_address = loopback_address() + ":" + std::to_string(port);
+    return R"({"name":"n0","listen":")" + listen_address + R"(","discovery":")" + discovery +
+           R"(","seed":"8c1f30d27a5be964","limits":)" + limits() + R"(,"known":)" +
+           endpoint_list(endpoint_entries) + R"(,"settings":)" + settings() + extra_config + "}";
+  }
+
+  // ---- The relay's process. ----
+  // Makes flock() and the creation of local sockets fail with ENOSYS in this process and in the program that
+  // it executes, as on a system that supports neither. Returns whether the filter is installed.
+  static bool install_seccomp_filter() {
+    constexpr auto syscall_number = static_cast<__u32>(offsetof(seccomp_data, nr));
+    constexpr auto first_argument = static_cast<__u32>(offsetof(seccomp_data, args));  // socket(): the family
+    sock_filter instructions[] = {BPF_STMT(BPF_LD | BPF_W | BPF_ABS, syscall_number),
+                                  BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_flock, 3, 0),
+                                  BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_socket, 0, 3),
+                                  BPF_STMT(BPF_LD | BPF_W | BPF_ABS, first_argument),
+                                  BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, AF_UNIX, 0, 1),
+                                  BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ERRNO | ENOSYS),
+                                  BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW)};
+    const sock_fprog filter{static_cast<unsigned short>(std::size(instructions)), instructions};
     return ::prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) == 0 &&
-           ::prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &all) == 0;
+           ::prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &filter) == 0;
   }
+  // Starts `program` with the configuration `text`, without waiting until it is ready.
   void spawn(const std::string& text) {
     std::ofstream(folder + "/config.json") << text;
-    child = ::fork();
-    if (child == 0) {
-      // It never outlives its test, nor holds the runner's pipe, however the test ends.
+    relay_pid = ::fork();
+    if (relay_pid == 0) {
+      // However the test ends, the relay must neither outlive it nor keep the test runner's pipe open.
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
       if (std::freopen("/dev/null", "w", stdout) == nullptr) ::_exit(126);
-      if (largest_file > 0) {
-        const rlimit limit{largest_file, RLIM_INFINITY};
+      if (max_file_bytes > 0) {
+        const rlimit limit{max_file_bytes, RLIM_INFINITY};
         ::signal(SIGXFSZ, SIG_IGN);
         ::setrlimit(RLIMIT_FSIZE, &limit);
       }
-      if (most_files > 0) {
-        for (rlim_t file = 3; file < 1024; file++) ::close(static_cast<int>(file));  // the test's own
-        const rlimit limit{most_files, most_files};
+      if (max_descriptors > 0) {
+        // Closes the descriptors that the test process has opened.
+        for (rlim_t file = 3; file < 1024; file++) ::close(static_cast<int>(file));
+        const rlimit limit{max_descriptors, max_descriptors};
         ::setrlimit(RLIMIT_NOFILE, &limit);
       }
-      if (refuse_calls && !refuse_locks_and_local_sockets()) ::_exit(125);
+      if (deny_locks_and_local_sockets && !install_seccomp_filter()) ::_exit(125);
       ::setenv("LB_CONFIG", (folder + "/config.json").c_str(), 1);
       ::setenv("LB_STATE", (folder + "/state").c_str(), 1);
       if (std::freopen((folder + "/log").c_str(), "a", stderr) == nullptr) ::_exit(126);
@@ -233,42 +261,45 @@
       ::_exit(127);
     }
   }
+  // Starts the relay and waits until it is ready.
   void start() {
-    if (members.empty()) members = member("s-1", endpoint.address());
+    if (endpoint_entries.empty()) endpoint_entries = endpoint_entry("s-1", endpoint.address());
     spawn(config());
-    wait_for([this] { return health() == 200; }, "the relay is ready");
+    wait_for([this] { return health_status() == 200; }, "the relay to be ready");
   }
-  // Puts a new configuration in the old one's place and says so.
+  // Replaces the configuration file atomically and notifies the relay by SIGHUP.
   void reload(const std::string& text) {
     std::ofstream(folder + "/config.new") << text;
     std::filesystem::rename(folder + "/config.new", folder + "/config.json");
-    ::kill(child, SIGHUP);
+    ::kill(relay_pid, SIGHUP);
   }
-  // Its exit status, or -1 where a signal ended it.
-  int wait_exit() {
+  // Waits until the relay ends. Returns its exit status, or -1 if a signal ended it.
+  int wait_for_exit() {
     int status = 0;
-    wait_for([&] { return ::waitpid(child, &status, WNOHANG) == child; }, "the relay ends");
-    child = -1;
+    wait_for([&] { return ::waitpid(relay_pid, &status, WNOHANG) == relay_pid; }, "the relay to end");
+    relay_pid = -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
   void kill_relay() {
-    ::kill(child, SIGKILL);
-    wait_exit();
+    ::kill(relay_pid, SIGKILL);
+    wait_for_exit();
   }
-  std::size_t descriptors() const {
-    const std::filesystem::directory_iterator all("/proc/" + std::to_string(child) + "/fd");
+  // The number of file descriptors that the relay has open.
+  std::size_t descriptor_count() const {
+    const std::filesystem::directory_iterator all("/proc/" + std::to_string(relay_pid) + "/fd");
     return static_cast<std::size_t>(std::distance(begin(all), end(all)));
   }
-  // Its memory in KiB; under sanitizers it says nothing.
-  long resident() const {
-    std::ifstream in("/proc/" + std::to_string(child) + "/statm");
-    long size = 0, pages = 0;
+  // The relay's resident memory in KiB. The figure is meaningless under sanitizers.
+  long resident_kib() const {
+    std::ifstream in("/proc/" + std::to_string(relay_pid) + "/statm");
+    long size = 0;
+    long pages = 0;
     in >> size >> pages;
     return pages * (::sysconf(_SC_PAGESIZE) / 1024);
   }
-  // The most memory that it has held, in KiB.
-  long peak() const {
-    std::ifstream in("/proc/" + std::to_string(child) + "/status");
+  // The highest resident memory of the relay so far, in KiB.
+  long peak_resident_kib() const {
+    std::ifstream in("/proc/" + std::to_string(relay_pid) + "/status");
     std::string word;
     long kib = 0;
     while (in >> word && word != "VmHWM:") {
@@ -276,68 +307,76 @@
     in >> kib;
     return kib;
   }
-  std::string logged() {
+  std::string log_text() {
     std::ifstream in(folder + "/log");
     return {std::istreambuf_iterator<char>(in), {}};
   }
 
   // ---- Clients. ----
+  // Opens a connection to the relay. Returns a null pointer if it is refused.
   std::shared_ptr<Client> connect() {
     tcp::socket socket(io);
-    error_code bad;
-    socket.connect({net::ip::make_address(own_address()), port}, bad);
-    if (bad) return nullptr;
+    error_code error;
+    socket.connect({net::ip::make_address(loopback_address()), port}, error);
+    if (error) return nullptr;
     clients.push_back(std::make_shared<Client>(std::move(socket)));
     clients.back()->read();
     return clients.back();
   }
-  static std::string request(const std::string& id, const std::string& cls, const std::string& body = "hello",
-                             const std::string& deadline = "6000m") {
-    return "POST /" + cls + " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id + "\r\nX-Class: " + cls +
-           "\r\nX-Deadline: " + deadline +
+  // The request that submits a message to destination 7.
+  static std::string request(const std::string& id, const std::string& message_class,
+                             const std::string& body = "hello", const std::string& deadline = "6000m") {
+    return "POST /" + message_class + " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id +
+           "\r\nX-Class: " + message_class + "\r\nX-Deadline: " + deadline +
            "\r\nX-Consignee: dest=7\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
-  unsigned ask(const std::string& bytes) {
+  // Sends `bytes` on a new connection. Returns the status of the response, or 0 if there is none.
+  unsigned send_request(const std::string& bytes) {
     const auto client = connect();
     if (!client) return 0;
     client->write(bytes);
-    wait_for([&] { return client->ended || !client->answers.empty(); }, "an answer");
-    return client->answers.empty() ? 0 : client->answers[0].result_int();
+    wait_for([&] { return client->closed || !client->responses.empty(); }, "a response");
+    return client->responses.empty() ? 0 : client->responses[0].result_int();
   }
-  unsigned health() { return ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); }
-  unsigned hand_in(const std::string& id, const std::string& cls, const std::string& body = "hello",
-                   const std::string& deadline = "6000m") {
-    return ask(request(id, cls, body, deadline));
+  // The status of the relay's response to a health check.
+  unsigned health_status() { return send_request("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); }
+  // Submits a message on a new connection. Returns the status of the response, or 0 if there is none.
+  unsigned submit(const std::string& id, const std::string& message_class, const std::string& body = "hello",
+                  const std::string& deadline = "6000m") {
+    return send_request(request(id, message_class, body, deadline));
   }
 
-  void let_clients_go() {
-    for (const auto& c : clients) c->close();
+  void close_clients() {
+    for (const auto& client : clients) client->close();
     clients.clear();
   }
 
   // ---- The platform. ----
-  void on_platform(const Got& g) {
-    if (g.request.method() == http::verb::post) {
-      if (finals_status == 204) finals += g.request.body();
-      refused_finals += finals_status != 204;
-      return g.session->answer(finals_status);
+  // Records final notices, and responds to each watch with a snapshot of `endpoint_entries`.
+  void handle_platform_request(const ReceivedRequest& call) {
+    if (call.request.method() == http::verb::post) {
+      if (notice_response_status == 204) final_notices += call.request.body();
+      refused_notice_requests += notice_response_status != 204;
+      return call.session->respond(notice_response_status);
     }
-    watches.push_back(g.session);
-    g.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    tell(list(members));
+    watches.push_back(call.session);
+    call.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    send_watch_line(endpoint_list(endpoint_entries));
   }
-  void tell(const std::string& line) {
+  // Sends a line as one chunk of the latest watch's response.
+  void send_watch_line(const std::string& line) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
     watches.back()->write(size + line + "\n\r\n");
   }
 
+  // Runs the event loop until `condition` holds. Fails the test after kConditionTimeout.
   template <class Condition>
   void wait_for(Condition condition, const char* what) {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kConditionTimeout;
     while (!condition()) {
       if (std::chrono::steady_clock::now() > until) {
-        FAIL() << "waited in vain until " << what << "; its log:\n" << logged();
+        FAIL() << "timed out waiting for: " << what << "; log of the relay:\n" << log_text();
       }
       io.restart();
       io.run_one_for(std::chrono::milliseconds(5));
@@ -345,20 +384,26 @@
   }
 
   net::io_context io;
-  Server endpoint, platform;
-  std::string folder, members, finals;
-  std::uint16_t port = 0;
-  int workers = 8, relays = 1;
-  std::string list_mode = "subscribe";          // how the settings say that changes of the list come
-  std::string more_classes;                     // each behind a comma
-  std::string more;                             // further members of the configuration
-  std::string program = MESSAGE_RELAY_PROGRAM;  // that spawn() runs
-  pid_t child = -1;
-  rlim_t largest_file = 0;    // that the program may write; 0: any
-  rlim_t most_files = 0;      // descriptors that the system lets it hold, none from here; 0: as the test
-  bool refuse_calls = false;  // of the relay: locks on files and local sockets
-  unsigned finals_status = 204;
-  int refused_finals = 0;
+  FakeServer endpoint;
+  FakeServer platform;
+  std::string folder;            // holds the relay's configuration, state and log
+  std::string endpoint_entries;  // of the endpoint list, separated by commas
+  std::string final_notices;     // the bodies of all accepted requests with final notices
+  std::uint16_t port = 0;        // on which the relay listens for clients
+  int max_calls_in_flight = 8;
+  int relay_count = 1;
+  std::string discovery_mode = "subscribe";     // value of the setting Discovery
+  std::string extra_classes;                    // further classes of the settings, each after a comma
+  std::string extra_config;                     // further members of the configuration, each after a comma
+  std::string program = MESSAGE_RELAY_PROGRAM;  // path of the program that spawn() runs
+  pid_t relay_pid = -1;                         // -1: the relay is not running
+  rlim_t max_file_bytes = 0;                    // limit on the size of the relay's files; 0: no limit
+  // Limit on the relay's descriptors. If it is set, the relay inherits no descriptors of the test process;
+  // 0: the limit and the descriptors of the test process.
+  rlim_t max_descriptors = 0;
+  bool deny_locks_and_local_sockets = false;  // see install_seccomp_filter()
+  unsigned notice_response_status = 204;      // of the responses to final notices
+  int refused_notice_requests = 0;  // requests with final notices answered by another status than 204
   std::vector<std::shared_ptr<Session>> watches;
   std::vector<std::shared_ptr<Client>> clients;
 };
