--- a/tests/relay_harness.hpp
+++ b/tests/relay_harness.hpp
@@ -124,7 +124,7 @@
 };
 
 // Handlers for FakeServer.
-inline void respond_ok(const ReceivedRequest& call) { call.session->respond(200); }
+inline void respond_ok(const ReceivedRequest& incoming) { incoming.session->respond(200); }
 inline void leave_unanswered(const ReceivedRequest&) {}
 
 // A client's connection to the relay. A pending read holds a reference to it, so that the test may release
@@ -166,7 +166,7 @@
  protected:
   RelayTest()
       : endpoint(io, respond_ok),
-        platform(io, [this](const ReceivedRequest& call) { handle_platform_request(call); }) {
+        platform(io, [this](const ReceivedRequest& incoming) { handle_platform_request(incoming); }) {
     const auto base =
         std::filesystem::temp_directory_path() / ("message_relay-test-" + std::to_string(::getpid()));
     folder = base.string();
@@ -353,14 +353,14 @@
 
   // ---- The platform. ----
   // Records final notices, and responds to each watch with a snapshot of `endpoint_entries`.
-  void handle_platform_request(const ReceivedRequest& call) {
-    if (call.request.method() == http::verb::post) {
-      if (notice_response_status == 204) final_notices += call.request.body();
+  void handle_platform_request(const ReceivedRequest& incoming) {
+    if (incoming.request.method() == http::verb::post) {
+      if (notice_response_status == 204) final_notices += incoming.request.body();
       refused_notice_requests += notice_response_status != 204;
-      return call.session->respond(notice_response_status);
+      return incoming.session->respond(notice_response_status);
     }
-    watches.push_back(call.session);
-    call.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    watches.push_back(incoming.session);
+    incoming.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     send_watch_line(endpoint_list(endpoint_entries));
   }
   // Sends a line as one chunk of the latest watch's response.
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,4 +1,4 @@
-// The whole relay over loopback sockets. Each test says which failure it guards against.
+// End-to-end tests of the relay program over loopback sockets.
 #include "journal.hpp"
 #include "relay_harness.hpp"
 
@@ -8,268 +8,283 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-const char* const kSafe = "load-status";
-const char* const kUnsafe = "pay-and-order";
+// The classes that the fixture configures.
+const char* const kIdempotentClass = "load-status";
+const char* const kNonIdempotentClass = "pay-and-order";
 
-TEST_F(RelayTest, DeliversAndOwesNothingMore) {
+TEST_F(RelayTest, MessageIsDeliveredOnceWithoutFinalNotice) {
   start();
   const std::string body("\0\x01 any bytes \xff", 14);
-  EXPECT_EQ(submit("m1", kSafe, body), 202U);
+  EXPECT_EQ(submit("m1", kIdempotentClass, body), 202U);
   wait_for([&] { return !endpoint.received.empty(); }, "the call");
-  const Request& call = endpoint.received[0].request;
-  EXPECT_EQ(call.target(), "/events");
-  EXPECT_EQ(call["X-Request-Id"], "m1");
-  EXPECT_EQ(call.body(), body);
-  EXPECT_EQ(call["X-Deadline"].back(), 'u');
+  const Request& delivery = endpoint.received[0].request;
+  EXPECT_EQ(delivery.target(), "/events");
+  EXPECT_EQ(delivery["X-Request-Id"], "m1");
+  EXPECT_EQ(delivery.body(), body);
+  EXPECT_EQ(delivery["X-Deadline"].back(), 'u');
   ::kill(relay_pid, SIGTERM);
   EXPECT_EQ(wait_for_exit(), 0);
   EXPECT_EQ(endpoint.received.size(), 1U);
   EXPECT_EQ(final_notices, "");
 }
 
-TEST_F(RelayTest, KeepsItsConnectionToAnEndpoint) {
+TEST_F(RelayTest, ConnectionToEndpointIsReused) {
   start();
   for (int i = 0; i < 5; i++) {
-    EXPECT_EQ(submit("m" + std::to_string(i), kSafe), 202U);
+    EXPECT_EQ(submit("m" + std::to_string(i), kIdempotentClass), 202U);
     wait_for([&] { return endpoint.received.size() == static_cast<std::size_t>(i) + 1; }, "the call");
   }
   EXPECT_EQ(endpoint.sessions.size(), 1U);
 }
 
-// A kept connection that the endpoint has closed must not be written to: that would be a reset, and the end
-// of an unsafe message.
-TEST_F(RelayTest, DoesNotUseAConnectionThatTheEndpointClosed) {
+// Writing to an idle connection that the endpoint has closed would count as a reset, and after a reset a
+// non-idempotent message is not retried.
+TEST_F(RelayTest, ConnectionClosedByEndpointIsNotReused) {
   start();
-  EXPECT_EQ(submit("m1", kUnsafe), 202U);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   endpoint.sessions[0]->close();
-  EXPECT_EQ(submit("m2", kUnsafe), 202U);
+  EXPECT_EQ(submit("m2", kNonIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() == 2; }, "the second call");
   EXPECT_EQ(endpoint.sessions.size(), 2U);
   EXPECT_EQ(final_notices, "");
 }
 
-TEST_F(RelayTest, AMessageHandedInTwiceIsOne) {
+TEST_F(RelayTest, IdSubmittedAgainDuringItsCallIsNotSentAgain) {
   endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(submit("m1", kUnsafe), 202U);
-  EXPECT_EQ(submit("m1", kUnsafe), 202U);
-  EXPECT_EQ(submit("m2", kUnsafe), 202U);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
+  EXPECT_EQ(submit("m2", kNonIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() >= 2; }, "both calls");
   EXPECT_NE(endpoint.received[0].request["X-Request-Id"], endpoint.received[1].request["X-Request-Id"]);
 }
 
-// Whatever comes in is answered or dropped, and the next message is served as if nothing had been.
-TEST_F(RelayTest, BadInputIsTurnedDown) {
+// Each malformed or incomplete request is answered with an error or dropped, and does not affect the messages
+// that follow it.
+TEST_F(RelayTest, InvalidRequestsAreRejected) {
   start();
   EXPECT_EQ(send_request("NONSENSE\r\n\r\n"), 400U);
   EXPECT_EQ(send_request("POST /load-status HTTP/1.1\r\nContent-Length: banana\r\n\r\n"), 400U);
   EXPECT_EQ(send_request("POST /load-status HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"),
-            400U);  // no headers of ours
+            400U);  // required headers missing
   EXPECT_EQ(send_request("POST /unheard-of HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"), 404U);
   EXPECT_EQ(send_request("GET /load-status HTTP/1.1\r\n\r\n"), 405U);
-  EXPECT_EQ(submit("m1", kSafe, "x", "soon"), 400U);
-  EXPECT_EQ(submit("m1", kSafe, "x", "-5m"), 400U);
-  EXPECT_EQ(submit("m1", kSafe, std::string(std::size_t{65} * 1024, 'x')), 413U);
+  EXPECT_EQ(submit("m1", kIdempotentClass, "x", "soon"), 400U);
+  EXPECT_EQ(submit("m1", kIdempotentClass, "x", "-5m"), 400U);
+  EXPECT_EQ(submit("m1", kIdempotentClass, std::string(std::size_t{65} * 1024, 'x')), 413U);
   EXPECT_EQ(send_request("GET /_health HTTP/1.1\r\nX: " + std::string(20'000, 'x') + "\r\n\r\n"), 400U);
-  connect()->write("POST /load-status HT");  // a slow one, never done
-  const auto half = connect();
-  half->write(request("m2", kSafe).substr(0, 80));
-  half->shutdown_send();
-  wait_for([&] { return half->closed; }, "half a request is dropped");
-  EXPECT_EQ(submit("m3", kSafe, std::string(std::size_t{64} * 1024, 'x')), 202U);
+  connect()->write("POST /load-status HT");  // a request that is never completed
+  const auto incomplete = connect();
+  incomplete->write(request("m2", kIdempotentClass).substr(0, 80));
+  incomplete->shutdown_send();
+  wait_for([&] { return incomplete->closed; }, "the connection with the incomplete request to close");
+  EXPECT_EQ(submit("m3", kIdempotentClass, std::string(std::size_t{64} * 1024, 'x')), 202U);
   wait_for([&] { return !endpoint.received.empty(); }, "the call");
   EXPECT_EQ(endpoint.received[0].request["X-Request-Id"], "m3");
 }
 
-TEST_F(RelayTest, AClientThatEndedItsSendingIsAnswered) {
+TEST_F(RelayTest, ClientThatShutDownSendingReceivesResponse) {
   start();
   const auto client = connect();
-  client->write(request("m1", kSafe));
+  client->write(request("m1", kIdempotentClass));
   client->shutdown_send();
-  wait_for([&] { return !client->responses.empty(); }, "the answer");
+  wait_for([&] { return !client->responses.empty(); }, "the response");
   EXPECT_EQ(client->responses[0].result_int(), 202U);
 }
 
-TEST_F(RelayTest, ContinuesAClientThatAsksFirst) {
+TEST_F(RelayTest, ExpectContinueIsAnsweredBeforeBodyArrives) {
   start();
   const auto client = connect();
-  std::string head = request("m1", kSafe);
+  std::string head = request("m1", kIdempotentClass);
   head.insert(head.find("Content-Length"), "Expect: 100-continue\r\n");
   client->write(head.substr(0, head.size() - 5));
-  wait_for([&] { return !client->responses.empty(); }, "100");
+  wait_for([&] { return !client->responses.empty(); }, "the response with status 100");
   EXPECT_EQ(client->responses[0].result_int(), 100U);
   client->write("hello");
-  wait_for([&] { return client->responses.size() == 2; }, "202");
+  wait_for([&] { return client->responses.size() == 2; }, "the response with status 202");
   EXPECT_EQ(client->responses[1].result_int(), 202U);
 }
 
-// At the limit of what may be held a client is told so at once.
-TEST_F(RelayTest, RefusesAtTheOpenLimit) {
+// At the limit of open messages a submission is refused at once.
+TEST_F(RelayTest, SubmissionsBeyondOpenMessageLimitAreRefused) {
   endpoint.on_request(leave_unanswered);
   start();
-  int taken = 0, refused = 0;
+  int accepted = 0;
+  int refused = 0;
   for (int i = 0; i < 60; i++) {
-    const auto status = submit("m" + std::to_string(i), kUnsafe, "x", "24000m");
-    taken += status == 202;
+    const auto status = submit("m" + std::to_string(i), kNonIdempotentClass, "x", "24000m");
+    accepted += status == 202;
     refused += status == 503;
   }
-  EXPECT_EQ(taken + refused, 60);
+  EXPECT_EQ(accepted + refused, 60);
   EXPECT_GT(refused, 0);
-  EXPECT_GE(taken, 30);
+  EXPECT_GE(accepted, 30);
 }
 
-// An unsafe call that may have run is neither sent again nor refused: it ends by one notice.
-TEST_F(RelayTest, AnUnsafeMessageIsNotRepeatedAfterAReset) {
-  endpoint.on_request([](const ReceivedRequest& g) { g.session->close(); });
+// After a reset the endpoint may have executed the message. A non-idempotent message is then neither retried
+// nor reported as refused, but ends with one final notice.
+TEST_F(RelayTest, NonIdempotentMessageIsNotRetriedAfterReset) {
+  endpoint.on_request([](const ReceivedRequest& call) { call.session->close(); });
   start();
-  EXPECT_EQ(submit("m1", kUnsafe), 202U);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
   wait_for([&] { return !final_notices.empty(); }, "the notice");
   EXPECT_EQ(final_notices, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
   EXPECT_EQ(endpoint.received.size(), 1U);
 }
 
-TEST_F(RelayTest, AnUnsafeMessageIsSentAgainWhereNoConnectionCameUp) {
-  // Bound but not listening: connects are refused.
+TEST_F(RelayTest, NonIdempotentMessageIsRetriedAfterConnectFailure) {
+  // The socket is bound but does not listen, so that connection attempts are refused.
   tcp::socket closed(io);
   closed.open(tcp::v4());
   closed.bind({net::ip::make_address(loopback_address()), 0});
-  const auto port_of = std::to_string(closed.local_endpoint().port());
-  endpoint_entries = endpoint_entry("s-1", loopback_address() + ":" + port_of);
+  const auto closed_port = std::to_string(closed.local_endpoint().port());
+  endpoint_entries = endpoint_entry("s-1", loopback_address() + ":" + closed_port);
   start();
-  EXPECT_EQ(submit("m1", kUnsafe, "x", "24000m"), 202U);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass, "x", "24000m"), 202U);
   wait_for(
       [&] {
         return log_text().find("endpoint_ejected endpoint=s-1 cause=connect_failed") != std::string::npos;
       },
-      "connects fail");
-  endpoint_entries = endpoint_entry("s-1", endpoint.address());  // the same endpoint, found elsewhere
+      "the endpoint to be ejected");
+  endpoint_entries = endpoint_entry("s-1", endpoint.address());  // the same endpoint at another address
   send_watch_line(endpoint_list(endpoint_entries));
   wait_for([&] { return !endpoint.received.empty(); }, "the call");
   EXPECT_EQ(final_notices, "");
 }
 
-TEST_F(RelayTest, AToldWaitIsKept) {
-  std::vector<steady_clock::time_point> at;
-  endpoint.on_request([&](const ReceivedRequest& g) {
-    at.push_back(steady_clock::now());
-    at.size() == 1 ? g.session->respond(429, "X-Come-Back-Ms: 1200\r\n") : g.session->respond(200);
+TEST_F(RelayTest, RetryAfterOfRejectionIsHonored) {
+  std::vector<steady_clock::time_point> call_times;
+  endpoint.on_request([&](const ReceivedRequest& call) {
+    call_times.push_back(steady_clock::now());
+    call_times.size() == 1 ? call.session->respond(429, "X-Come-Back-Ms: 1200\r\n")
+                           : call.session->respond(200);
   });
   start();
-  EXPECT_EQ(submit("m1", kSafe), 202U);
-  wait_for([&] { return at.size() == 1; }, "the first call");
-  EXPECT_EQ(submit("m2", kSafe), 202U);
-  wait_for([&] { return at.size() == 3; }, "all calls");
-  EXPECT_GE(at[1] - at[0], milliseconds(1200));
+  EXPECT_EQ(submit("m1", kIdempotentClass), 202U);
+  wait_for([&] { return call_times.size() == 1; }, "the first call");
+  EXPECT_EQ(submit("m2", kIdempotentClass), 202U);
+  wait_for([&] { return call_times.size() == 3; }, "all calls");
+  EXPECT_GE(call_times[1] - call_times[0], milliseconds(1200));
 }
 
-// A wait may stand in any answer, also one that delivers.
-TEST_F(RelayTest, AWaitToldWithADeliveryIsKept) {
-  std::vector<steady_clock::time_point> at;
-  endpoint.on_request([&](const ReceivedRequest& g) {
-    at.push_back(steady_clock::now());
-    g.session->respond(200, at.size() == 1 ? "X-Come-Back-Ms: 1200\r\n" : "");
+// An endpoint may request a delay in any response, including one that reports a successful delivery.
+TEST_F(RelayTest, RetryAfterOfSuccessfulResponseIsHonored) {
+  std::vector<steady_clock::time_point> call_times;
+  endpoint.on_request([&](const ReceivedRequest& call) {
+    call_times.push_back(steady_clock::now());
+    call.session->respond(200, call_times.size() == 1 ? "X-Come-Back-Ms: 1200\r\n" : "");
   });
   start();
-  EXPECT_EQ(submit("m1", kSafe), 202U);
-  wait_for([&] { return at.size() == 1; }, "the first call");
-  EXPECT_EQ(submit("m2", kSafe), 202U);
-  wait_for([&] { return at.size() == 2; }, "the second call");
-  EXPECT_GE(at[1] - at[0], milliseconds(1200));
+  EXPECT_EQ(submit("m1", kIdempotentClass), 202U);
+  wait_for([&] { return call_times.size() == 1; }, "the first call");
+  EXPECT_EQ(submit("m2", kIdempotentClass), 202U);
+  wait_for([&] { return call_times.size() == 2; }, "the second call");
+  EXPECT_GE(call_times[1] - call_times[0], milliseconds(1200));
 }
 
-// Several messages in one call each have an end of their own; one that the answer leaves out may have run.
-TEST_F(RelayTest, ABundleGivesEachMessageItsEnd) {
+// The messages of a batch are settled one by one. A message that the response leaves out may have been
+// executed.
+TEST_F(RelayTest, BatchResponseSettlesEachMessageSeparately) {
   endpoint_entries = endpoint_entry("s-1", endpoint.address(), "ready", "big");
-  std::map<std::string, int> seen;
-  endpoint.on_request([&](const ReceivedRequest& g) {
-    if (g.request.target() != "/events/bundle") {
-      seen[std::string(g.request["X-Request-Id"])]++;
-      return g.session->respond(200, g.request["X-Request-Id"] == "m0" ? "X-Come-Back-Ms: 1500\r\n" : "");
+  std::map<std::string, int> call_counts;
+  endpoint.on_request([&](const ReceivedRequest& call) {
+    if (call.request.target() != "/events/bundle") {
+      call_counts[std::string(call.request["X-Request-Id"])]++;
+      return call.session->respond(200,
+                                   call.request["X-Request-Id"] == "m0" ? "X-Come-Back-Ms: 1500\r\n" : "");
     }
-    std::string answer = "[";
+    std::string results = "[";
     for (const std::string id : {"m1", "m2", "m3"}) {
-      if (g.request.body().find("\"id\":\"" + id + "\",\"body\":\"aGVsbG8=\"") == std::string::npos) continue;
-      seen[id]++;
+      if (call.request.body().find("\"id\":\"" + id + "\",\"body\":\"aGVsbG8=\"") == std::string::npos)
+        continue;
+      call_counts[id]++;
       if (id == "m3") continue;
-      answer += std::string(answer.size() > 1 ? "," : "") + R"({"id":")" + id + R"(","state":")" +
-                (id == "m1" ? "done" : "busy") + "\"}";
+      results += std::string(results.size() > 1 ? "," : "") + R"({"id":")" + id + R"(","state":")" +
+                 (id == "m1" ? "done" : "busy") + "\"}";
     }
-    g.session->respond(200, "", answer + "]");
+    call.session->respond(200, "", results + "]");
   });
   start();
-  // A told wait holds them all, so that they go in one round when it ends.
-  EXPECT_EQ(submit("m0", kSafe), 202U);
-  wait_for([&] { return seen["m0"] == 1; }, "the wait is told");
-  for (const std::string id : {"m1", "m2", "m3"}) EXPECT_EQ(submit(id, kUnsafe), 202U);
-  wait_for([&] { return seen["m1"] >= 1 && seen["m2"] >= 2 && !final_notices.empty(); }, "each has its end");
-  EXPECT_EQ(seen["m1"], 1);
-  EXPECT_EQ(seen["m2"], 2);
-  EXPECT_EQ(seen["m3"], 1);
+  // The requested delay holds the messages back, so that they are sent in one round when it ends.
+  EXPECT_EQ(submit("m0", kIdempotentClass), 202U);
+  wait_for([&] { return call_counts["m0"] == 1; }, "the call whose response requests the delay");
+  for (const std::string id : {"m1", "m2", "m3"}) EXPECT_EQ(submit(id, kNonIdempotentClass), 202U);
+  wait_for([&] { return call_counts["m1"] >= 1 && call_counts["m2"] >= 2 && !final_notices.empty(); },
+           "the end of each message");
+  EXPECT_EQ(call_counts["m1"], 1);
+  EXPECT_EQ(call_counts["m2"], 2);
+  EXPECT_EQ(call_counts["m3"], 1);
   EXPECT_EQ(final_notices, "{\"id\":\"m3\",\"status\":\"undeliverable\"}\n");
 }
 
-// ---- Classes of other customers. ----
-const std::string kOtherClasses =
+// ---- Idempotency keys and order keys. ----
+const std::string kKeyClasses =
     R"(,{"Name":"stamped","Points":1.0,"Target":1000000,"Deadline":6000000,"Idempotency":"idempotency_key",)"
     R"("Window":5000000},{"Name":"in-turn","Points":1.0,"Target":1000000,"Deadline":6000000,)"
     R"("Idempotency":"read_like","FifoByKey":true})";
-std::string with_key(std::string request) {
+
+std::string with_idempotency_key(std::string request) {
   return request.insert(request.find("X-Deadline"), "Idempotency-Key: 0f-key\r\n");
 }
 
-// Its endpoint knows a repeat by the key: one that came without would run twice.
-TEST_F(RelayTest, AnIdempotencyKeyGoesWithItsMessageAcrossARestartAndInBundles) {
-  extra_classes = kOtherClasses;
+// The endpoint detects a retry by its idempotency key: without the key it would execute the message twice.
+TEST_F(RelayTest, IdempotencyKeyIsSentAfterRestartAndInBatches) {
+  extra_classes = kKeyClasses;
   endpoint_entries = endpoint_entry("s-1", endpoint.address(), "ready", "big");
   endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(send_request(with_key(request("m1", "stamped"))), 202U);
+  EXPECT_EQ(send_request(with_idempotency_key(request("m1", "stamped"))), 202U);
   wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   EXPECT_EQ(endpoint.received[0].request["Idempotency-Key"], "0f-key");
   kill_relay();
-  endpoint.on_request([](const ReceivedRequest& g) { g.session->respond(200, "X-Come-Back-Ms: 1500\r\n"); });
+  endpoint.on_request(
+      [](const ReceivedRequest& call) { call.session->respond(200, "X-Come-Back-Ms: 1500\r\n"); });
   start();
-  wait_for([&] { return endpoint.received.size() == 2; }, "the call of the next life");
+  wait_for([&] { return endpoint.received.size() == 2; }, "the call after the restart");
   EXPECT_EQ(endpoint.received[1].request["Idempotency-Key"], "0f-key");
-  // The wait that its answer tells holds the next ones, so that they go in one round.
-  EXPECT_EQ(send_request(with_key(request("m2", "stamped"))), 202U);
-  EXPECT_EQ(submit("m3", kSafe), 202U);
-  wait_for([&] { return endpoint.received.size() == 3; }, "the bundle");
+  // The delay that the response requests holds the next messages back, so that they are sent in one round.
+  EXPECT_EQ(send_request(with_idempotency_key(request("m2", "stamped"))), 202U);
+  EXPECT_EQ(submit("m3", kIdempotentClass), 202U);
+  wait_for([&] { return endpoint.received.size() == 3; }, "the batch");
   EXPECT_EQ(endpoint.received[2].request.target(), "/events/bundle");
   EXPECT_NE(endpoint.received[2].request.body().find(R"({"id":"m2","key":"0f-key","body":)"),
             std::string::npos);
   EXPECT_NE(endpoint.received[2].request.body().find(R"({"id":"m3","body":)"), std::string::npos);
 }
 
-// Of messages that may have run, those whose key's window is over end by a notice and are not sent again; the
-// window counts from the first attempt that may have run, whatever came later, and not from one that never
-// ran.
-TEST_F(RelayTest, ARestartRepeatsAKeyedMessageOnlyInsideItsWindow) {
-  const auto keyed = [](const std::string& name, const std::string& window) {
+// After a restart, a message that may have been executed ends with a final notice and is not retried if the
+// window of its idempotency key is over. The window starts with the first attempt that may have been
+// executed, whatever the outcomes of later attempts, and not with an attempt that was certainly not executed.
+TEST_F(RelayTest, RestartRetriesKeyedMessageOnlyWithinWindow) {
+  const auto keyed_class = [](const std::string& name, const std::string& window) {
     return R"(,{"Name":")" + name + R"(","Points":1.0,"Target":1000000,"Deadline":6000000,"Window":)" +
            window + R"(,"Idempotency":"idempotency_key"})";
   };
-  extra_classes = keyed("short", "1000000") + keyed("long", "3600000000");
+  extra_classes = keyed_class("short", "1000000") + keyed_class("long", "3600000000");
   {
-    const Time now = wall_now(), before = now - 10'000'000;
+    const Time now = wall_now();
+    const Time before = now - 10'000'000;
     Journal journal(folder + "/state", 3'000'000);
-    const auto held = [&](MessageId id, const std::string& cls,
-                          const std::vector<std::pair<Time, std::optional<Outcome>>>& attempts) {
-      Message m;
-      m.id = "m" + std::to_string(id), m.message_class = cls, m.idempotency_key = "key-" + m.id;
-      m.destination = 7, m.deadline = now + 600'000'000;
-      journal.record_message(id, m);
+    const auto record = [&](MessageId id, const std::string& message_class,
+                            const std::vector<std::pair<Time, std::optional<Outcome>>>& attempts) {
+      Message message;
+      message.id = "m" + std::to_string(id);
+      message.message_class = message_class;
+      message.idempotency_key = "key-" + message.id;
+      message.destination = 7;
+      message.deadline = now + 600'000'000;
+      journal.record_message(id, message);
       for (std::size_t i = 0; i < attempts.size(); i++) {
         journal.record_attempt(id, attempts[i].first, 0);
         if (attempts[i].second) journal.record_outcome(id, static_cast<int>(i), *attempts[i].second);
       }
     };
-    held(1, "short", {{before, std::nullopt}});
-    held(2, "short", {{before, Outcome::reset}, {now, std::nullopt}});
-    held(3, "short", {{before, Outcome::timeout}, {now, Outcome::rejected}});
-    held(4, "long", {{now, std::nullopt}});
-    held(5, "short", {{before, Outcome::rejected}});
+    record(1, "short", {{before, std::nullopt}});
+    record(2, "short", {{before, Outcome::reset}, {now, std::nullopt}});
+    record(3, "short", {{before, Outcome::timeout}, {now, Outcome::rejected}});
+    record(4, "long", {{now, std::nullopt}});
+    record(5, "short", {{before, Outcome::rejected}});
     ASSERT_TRUE(journal.commit());
   }
   start();
@@ -278,247 +293,257 @@
         return endpoint.received.size() >= 2 &&
                std::count(final_notices.begin(), final_notices.end(), '\n') >= 3;
       },
-      "their calls and notices");
+      "the calls and final notices");
   std::set<std::string> sent;
-  for (const auto& g : endpoint.received) sent.insert(std::string(g.request["X-Request-Id"]));
+  for (const auto& call : endpoint.received) sent.insert(std::string(call.request["X-Request-Id"]));
   EXPECT_EQ(sent, (std::set<std::string>{"m4", "m5"}));
   EXPECT_EQ(endpoint.received.size(), 2U);
-  std::string over;
+  std::string expected_notices;
   for (const std::string id : {"m1", "m2", "m3"})
-    over += R"({"id":")" + id + R"(","status":"undeliverable"})" + "\n";
-  EXPECT_EQ(final_notices, over);
+    expected_notices += R"({"id":")" + id + R"(","status":"undeliverable"})" + "\n";
+  EXPECT_EQ(final_notices, expected_notices);
 }
 
-// Messages of one subject go one at a time, in the order in which they were taken on, also by the next life.
-TEST_F(RelayTest, MessagesInOrderGoOneAfterTheOther) {
-  extra_classes = kOtherClasses;
-  const auto about = [&](const std::string& id, const std::string& subject) {
+// Messages with the same order key are delivered one at a time in the order of their submission, also after a
+// restart.
+TEST_F(RelayTest, MessagesWithSameOrderKeyAreDeliveredOneAtATime) {
+  extra_classes = kKeyClasses;
+  const auto ordered_request = [&](const std::string& id, const std::string& order_key) {
     auto text = request(id, "in-turn");
-    return text.replace(0, text.find(" HTTP"), "POST /in-turn/" + subject);
+    return text.replace(0, text.find(" HTTP"), "POST /in-turn/" + order_key);
   };
   endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(send_request(about("m1", "doc-1")), 202U);
+  EXPECT_EQ(send_request(ordered_request("m1", "doc-1")), 202U);
   wait_for([&] { return endpoint.received.size() == 1; }, "the first call");
-  EXPECT_EQ(send_request(about("m2", "doc-1")), 202U);
-  EXPECT_EQ(send_request(about("m3", "doc-2")), 202U);
-  wait_for([&] { return endpoint.received.size() == 2; }, "the call of another subject");
-  EXPECT_EQ(endpoint.received[1].request["X-Request-Id"], "m3") << "m2 came before it and has to wait";
+  EXPECT_EQ(send_request(ordered_request("m2", "doc-1")), 202U);
+  EXPECT_EQ(send_request(ordered_request("m3", "doc-2")), 202U);
+  wait_for([&] { return endpoint.received.size() == 2; }, "the call with another order key");
+  EXPECT_EQ(endpoint.received[1].request["X-Request-Id"], "m3")
+      << "m2 was submitted before m3 and has to wait for m1";
   kill_relay();
   endpoint.received.clear();
   start();
-  wait_for([&] { return endpoint.received.size() == 2; }, "the calls of the next life");
-  std::set<std::string> again;
-  for (const auto& g : endpoint.received) again.insert(std::string(g.request["X-Request-Id"]));
-  EXPECT_EQ(again, (std::set<std::string>{"m1", "m3"}));
-  for (const auto& g : endpoint.received) g.session->respond(200);
-  wait_for([&] { return endpoint.received.size() == 3; }, "the next of its subject");
+  wait_for([&] { return endpoint.received.size() == 2; }, "the calls after the restart");
+  std::set<std::string> resent;
+  for (const auto& call : endpoint.received) resent.insert(std::string(call.request["X-Request-Id"]));
+  EXPECT_EQ(resent, (std::set<std::string>{"m1", "m3"}));
+  for (const auto& call : endpoint.received) call.session->respond(200);
+  wait_for([&] { return endpoint.received.size() == 3; }, "the next message with the same order key");
   EXPECT_EQ(endpoint.received[2].request["X-Request-Id"], "m2");
 }
 
-TEST_F(RelayTest, GarbageFromAnEndpointIsAReset) {
+TEST_F(RelayTest, MalformedResponseOfEndpointCountsAsReset) {
   int calls = 0;
-  endpoint.on_request([&](const ReceivedRequest& g) {
-    if (++calls > 1) return g.session->respond(200);
-    g.session->write("\x01\x02 not HTTP\r\n\r\n");
-    g.session->close();
+  endpoint.on_request([&](const ReceivedRequest& call) {
+    if (++calls > 1) return call.session->respond(200);
+    call.session->write("\x01\x02 not HTTP\r\n\r\n");
+    call.session->close();
   });
   start();
-  EXPECT_EQ(submit("m1", kSafe), 202U);
-  wait_for([&] { return calls == 2; }, "it is sent again");
+  EXPECT_EQ(submit("m1", kIdempotentClass), 202U);
+  wait_for([&] { return calls == 2; }, "the retry");
 }
 
-TEST_F(RelayTest, NothingNewGoesToADrainingEndpoint) {
+TEST_F(RelayTest, DrainingEndpointReceivesNoNewCalls) {
   FakeServer other(io, respond_ok);
   start();
   wait_for([&] { return !watches.empty(); }, "the watch");
-  EXPECT_EQ(submit("m1", kSafe), 202U);
+  EXPECT_EQ(submit("m1", kIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   send_watch_line(endpoint_list(
       endpoint_entry("s-1", endpoint.address(), "draining") + "," + endpoint_entry("s-2", other.address()),
       false));
-  wait_for([&] { return endpoint.sessions[0]->closed; }, "its idle connection is closed");
-  for (int i = 2; i < 6; i++) EXPECT_EQ(submit("m" + std::to_string(i), kSafe), 202U);
-  wait_for([&] { return other.received.size() == 4; }, "the calls go elsewhere");
+  wait_for([&] { return endpoint.sessions[0]->closed; },
+           "the idle connection to the draining endpoint to close");
+  for (int i = 2; i < 6; i++) EXPECT_EQ(submit("m" + std::to_string(i), kIdempotentClass), 202U);
+  wait_for([&] { return other.received.size() == 4; }, "the calls to the other endpoint");
   EXPECT_EQ(endpoint.received.size(), 1U);
 }
 
-// Discovery that talks nonsense, or ends the watch, is asked again; what was known holds until then.
-// Where the settings call discovery automatic, changes come by a watch all the same.
-TEST_F(RelayTest, AutomaticDiscoveryIsWatchedToo) {
+// The relay watches the endpoint list for changes also if the settings call discovery automatic.
+TEST_F(RelayTest, AutomaticDiscoveryIsWatched) {
   discovery_mode = "automatic";
   start();
   wait_for([&] { return !watches.empty(); }, "the watch");
   watches.back()->close();
-  wait_for([&] { return watches.size() == 2; }, "it is begun again");
+  wait_for([&] { return watches.size() == 2; }, "the new watch");
   FakeServer other(io, respond_ok);
   send_watch_line(endpoint_list(
       endpoint_entry("s-1", endpoint.address(), "draining") + "," + endpoint_entry("s-2", other.address()),
       false));
-  // Until the change has come, messages still go to the first.
+  // Until the change has arrived, messages are still sent to the first endpoint.
   for (int i = 0; other.received.empty() && i < 1000; i++) {
-    EXPECT_EQ(submit("m" + std::to_string(i), kSafe), 202U);
-    const auto all = [&] { return endpoint.received.size() + other.received.size(); };
-    wait_for([&] { return all() == static_cast<std::size_t>(i) + 1; }, "the call");
+    EXPECT_EQ(submit("m" + std::to_string(i), kIdempotentClass), 202U);
+    const auto call_count = [&] { return endpoint.received.size() + other.received.size(); };
+    wait_for([&] { return call_count() == static_cast<std::size_t>(i) + 1; }, "the call");
   }
   EXPECT_FALSE(other.received.empty());
 }
 
-TEST_F(RelayTest, AWatchThatBreaksIsBegunAgain) {
+// After a malformed line, or after the end of the response, the relay starts a new watch. The endpoint list
+// stays in use until then.
+TEST_F(RelayTest, WatchIsRestartedAfterFailure) {
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   send_watch_line("{\"index\":\"what\"}");
   wait_for([&] { return watches.size() == 2; }, "a new watch");
   watches.back()->close();
   wait_for([&] { return watches.size() == 3; }, "another watch");
-  EXPECT_EQ(submit("m1", kSafe), 202U);
+  EXPECT_EQ(submit("m1", kIdempotentClass), 202U);
   wait_for([&] { return !endpoint.received.empty(); }, "the call");
 }
 
-// A connection that says nothing more is as dead as one that ended: the list would grow stale unseen.
-TEST_F(RelayTest, ASilentWatchIsTakenAsEnded) {
+// A watch that receives no more data must count as failed, as one whose connection has closed: otherwise the
+// endpoint list would become stale unnoticed.
+TEST_F(RelayTest, SilentWatchFailsAfterTimeout) {
   start();
   wait_for([&] { return watches.size() == 2; }, "a new watch after the silence");
   EXPECT_NE(log_text().find("watch failed: no data within the timeout"), std::string::npos);
 }
 
-TEST_F(RelayTest, ANoticeIsResentUntilThePlatformHasIt) {
-  endpoint.on_request([](const ReceivedRequest& g) { g.session->close(); });
+TEST_F(RelayTest, FinalNoticeIsRetriedUntilAcceptedAlsoAfterRestart) {
+  endpoint.on_request([](const ReceivedRequest& call) { call.session->close(); });
   notice_response_status = 503;
   start();
-  EXPECT_EQ(submit("m1", kUnsafe), 202U);
-  wait_for([&] { return refused_notice_requests >= 2; }, "it is sent again");
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
+  wait_for([&] { return refused_notice_requests >= 2; }, "the retry of the notice");
   kill_relay();
   start();
   notice_response_status = 204;
-  wait_for([&] { return !final_notices.empty(); }, "a new life sends it too");
+  wait_for([&] { return !final_notices.empty(); }, "the notice after the restart");
   EXPECT_EQ(final_notices, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
   EXPECT_EQ(endpoint.received.size(), 1U);
 }
 
-// A notice that the platform can't read is dropped, with a line in the log; those beside it are told.
-TEST_F(RelayTest, AnUnreadableNoticeHoldsUpNoOther) {
-  endpoint.on_request([](const ReceivedRequest& g) { g.session->close(); });
-  std::string told;
-  bool down = true;
-  platform.on_request([&](const ReceivedRequest& g) {
-    if (g.request.method() != http::verb::post) return handle_platform_request(g);
-    if (down) return g.session->respond(503);
-    const bool unreadable = g.request.body().find("\"m1\"") != std::string::npos;
-    if (!unreadable) told += g.request.body();
-    g.session->respond(unreadable ? 400 : 204);
+// A notice that the platform rejects as malformed is dropped and logged. The other notices of the same
+// request are delivered.
+TEST_F(RelayTest, MalformedNoticeDoesNotBlockOtherNotices) {
+  endpoint.on_request([](const ReceivedRequest& call) { call.session->close(); });
+  std::string accepted_notices;
+  bool platform_down = true;
+  platform.on_request([&](const ReceivedRequest& incoming) {
+    if (incoming.request.method() != http::verb::post) return handle_platform_request(incoming);
+    if (platform_down) return incoming.session->respond(503);
+    const bool malformed = incoming.request.body().find("\"m1\"") != std::string::npos;
+    if (!malformed) accepted_notices += incoming.request.body();
+    incoming.session->respond(malformed ? 400 : 204);
   });
   start();
   for (const std::string id : {"m0", "m1", "m2"}) {
-    EXPECT_EQ(submit(id, kUnsafe, "x", "24000m"), 202U);
-    const auto before = endpoint.received.size();
-    wait_for([&] { return endpoint.received.size() > before || endpoint.received.size() >= 3; }, "its call");
+    EXPECT_EQ(submit(id, kNonIdempotentClass, "x", "24000m"), 202U);
+    const auto calls_before = endpoint.received.size();
+    wait_for([&] { return endpoint.received.size() > calls_before || endpoint.received.size() >= 3; },
+             "the call of the message");
   }
-  down = false;
-  wait_for([&] { return std::count(told.begin(), told.end(), '\n') == 2; }, "the others");
-  EXPECT_EQ(told.find("m1"), std::string::npos);
+  platform_down = false;
+  wait_for([&] { return std::count(accepted_notices.begin(), accepted_notices.end(), '\n') == 2; },
+           "the other notices");
+  EXPECT_EQ(accepted_notices.find("m1"), std::string::npos);
   wait_for(
       [&] {
         return log_text().find("rejected by the platform as malformed: {\"id\":\"m1\"") != std::string::npos;
       },
-      "the line in the log");
+      "the log line");
 }
 
 // ---- Restarts. ----
-// Killed with much held, and at the bound of what it may hold: each message is sent again or ends, none
-// twice.
-TEST_F(RelayTest, ARestartWithMuchHeldLosesNothing) {
+// The relay is killed while it holds as many open messages as it may. After the restart each message is sent,
+// or ends with a final notice if its call was in flight; none is sent twice.
+TEST_F(RelayTest, RestartAtOpenMessageLimitLosesNoMessage) {
   endpoint.on_request(leave_unanswered);
   start();
-  int taken = 0;
+  int accepted = 0;
   for (int i = 0; i < 60; i++)
-    taken += submit("m" + std::to_string(i), kUnsafe, std::string(9000, 'x'), "24000m") == 202U;
-  EXPECT_GE(taken, 30);
+    accepted +=
+        submit("m" + std::to_string(i), kNonIdempotentClass, std::string(9000, 'x'), "24000m") == 202U;
+  EXPECT_GE(accepted, 30);
   wait_for([&] { return !endpoint.received.empty(); }, "some calls");
-  std::map<std::string, int> sent;
-  for (const auto& g : endpoint.received) sent[std::string(g.request["X-Request-Id"])]++;
-  const auto before = static_cast<int>(sent.size());
+  std::map<std::string, int> call_counts;
+  for (const auto& call : endpoint.received) call_counts[std::string(call.request["X-Request-Id"])]++;
+  const auto sent_before_kill = static_cast<int>(call_counts.size());
   kill_relay();
-  endpoint.on_request([&](const ReceivedRequest& g) {
-    sent[std::string(g.request["X-Request-Id"])]++;
-    g.session->respond(200);
+  endpoint.on_request([&](const ReceivedRequest& call) {
+    call_counts[std::string(call.request["X-Request-Id"])]++;
+    call.session->respond(200);
   });
   start();
-  wait_for([&] { return static_cast<int>(sent.size()) == taken; }, "the rest is sent");
-  wait_for([&] { return std::count(final_notices.begin(), final_notices.end(), '\n') >= before; },
-           "the others' notices");
-  for (const auto& [id, n] : sent) EXPECT_EQ(n, 1) << id;
+  wait_for([&] { return static_cast<int>(call_counts.size()) == accepted; },
+           "the calls of the other messages");
+  wait_for([&] { return std::count(final_notices.begin(), final_notices.end(), '\n') >= sent_before_kill; },
+           "the notices of the calls in flight");
+  for (const auto& [id, count] : call_counts) EXPECT_EQ(count, 1) << id;
 }
 
-TEST_F(RelayTest, AnUnsafeCallThatWasOutAtSigkillEndsAsFailed) {
+TEST_F(RelayTest, NonIdempotentCallInFlightAtSigkillEndsUndeliverable) {
   endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(submit("m1", kUnsafe, "x", "24000m"), 202U);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass, "x", "24000m"), 202U);
   wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   kill_relay();
   endpoint.on_request(respond_ok);
   start();
   wait_for([&] { return !final_notices.empty(); }, "the notice");
   EXPECT_EQ(final_notices, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
-  EXPECT_EQ(submit("m2", kUnsafe), 202U);
-  wait_for([&] { return endpoint.received.size() == 2; }, "the next message's call");
+  EXPECT_EQ(submit("m2", kNonIdempotentClass), 202U);
+  wait_for([&] { return endpoint.received.size() == 2; }, "the call of the next message");
   EXPECT_EQ(endpoint.received[1].request["X-Request-Id"], "m2");
 }
 
-TEST_F(RelayTest, ASafeCallThatWasOutAtSigkillIsMadeAgain) {
+TEST_F(RelayTest, IdempotentCallInFlightAtSigkillIsRetried) {
   endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(submit("m1", kSafe), 202U);
+  EXPECT_EQ(submit("m1", kIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   kill_relay();
   endpoint.on_request(respond_ok);
   start();
-  wait_for([&] { return endpoint.received.size() == 2; }, "the call again");
+  wait_for([&] { return endpoint.received.size() == 2; }, "the retry");
   EXPECT_EQ(endpoint.received[1].request["X-Request-Id"], "m1");
   EXPECT_EQ(endpoint.received[1].request.body(), "hello");
   EXPECT_EQ(final_notices, "");
 }
 
-TEST_F(RelayTest, WhatFellDueWhileItWasDownEndsAtOnce) {
+TEST_F(RelayTest, MessageExpiredDuringDowntimeEndsAtRestart) {
   endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(submit("m1", kSafe, "x", "300m"), 202U);
+  EXPECT_EQ(submit("m1", kIdempotentClass, "x", "300m"), 202U);
   kill_relay();
-  const auto due = steady_clock::now() + milliseconds(300);
-  wait_for([&] { return steady_clock::now() > due; }, "its time is up");
-  const auto before = endpoint.received.size();
+  const auto deadline = steady_clock::now() + milliseconds(300);
+  wait_for([&] { return steady_clock::now() > deadline; }, "the deadline to pass");
+  const auto calls_before = endpoint.received.size();
   start();
   wait_for([&] { return !final_notices.empty(); }, "the notice");
-  EXPECT_EQ(endpoint.received.size(), before);
+  EXPECT_EQ(endpoint.received.size(), calls_before);
 }
 
-// At SIGTERM calls that are out come home, clients are answered on, and the process ends by itself.
-TEST_F(RelayTest, DrainsAtSigterm) {
+// At SIGTERM the relay waits for the calls in flight, continues to answer clients, and then ends by itself.
+TEST_F(RelayTest, SigtermShutsDownGracefully) {
   endpoint.on_request(leave_unanswered);
   start();
   const auto client = connect();
-  client->write(request("m1", kUnsafe));
+  client->write(request("m1", kNonIdempotentClass));
   wait_for([&] { return client->responses.size() == 1 && endpoint.received.size() == 1; }, "the call");
-  const auto began = steady_clock::now();
+  const auto start_time = steady_clock::now();
   ::kill(relay_pid, SIGTERM);
-  wait_for([&] { return client->closed; }, "the idle client connection is closed");
+  wait_for([&] { return client->closed; }, "the idle client connection to close");
   EXPECT_EQ(health_status(), 503U);
-  EXPECT_EQ(submit("m2", kUnsafe), 202U);
+  EXPECT_EQ(submit("m2", kNonIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() == 2; }, "the second call");
-  for (const auto& g : endpoint.received) g.session->respond(200);
+  for (const auto& call : endpoint.received) call.session->respond(200);
   EXPECT_EQ(wait_for_exit(), 0);
-  EXPECT_LT(steady_clock::now() - began, milliseconds(3700));
+  EXPECT_LT(steady_clock::now() - start_time, milliseconds(3700));
   start();
   EXPECT_EQ(final_notices, "");
   EXPECT_EQ(endpoint.received.size(), 2U);
 }
 
-TEST_F(RelayTest, WhatIsLeftAtSigtermIsTakenUpAgain) {
+TEST_F(RelayTest, MessageOpenAtSigtermIsDeliveredAfterRestart) {
   endpoint_entries =
       endpoint_entry("s-1", endpoint.address(), "draining") + "," +
       R"({"name":"s-9","address":"127.0.0.1:9","zone":"a","type":"small","group":8,"status":"ready"})";
-  start();  // nothing may be sent to destination 7
-  EXPECT_EQ(submit("m1", kUnsafe, "x", "24000m"), 202U);
+  start();  // no endpoint of destination 7 may receive calls
+  EXPECT_EQ(submit("m1", kNonIdempotentClass, "x", "24000m"), 202U);
   ::kill(relay_pid, SIGTERM);
   EXPECT_EQ(wait_for_exit(), 0);
   EXPECT_EQ(endpoint.received.size(), 0U);
@@ -528,39 +553,45 @@
   EXPECT_EQ(endpoint.received[0].request["X-Request-Id"], "m1");
 }
 
-// A disk that takes nothing more: clients are refused at once, nothing is lost, and service goes on after it.
-TEST_F(RelayTest, AnUnwritableJournalRefusesAndRecovers) {
-  std::vector<std::string> called;
-  endpoint.on_request([&](const ReceivedRequest& g) {
-    called.emplace_back(g.request["X-Request-Id"]);
-    g.session->respond(200);
+// While the journal cannot be written, submissions are refused at once. No accepted message is lost, and the
+// relay accepts messages again once the journal can be written.
+TEST_F(RelayTest, UnwritableJournalRefusesMessagesUntilWritable) {
+  std::vector<std::string> called_ids;
+  endpoint.on_request([&](const ReceivedRequest& call) {
+    called_ids.emplace_back(call.request["X-Request-Id"]);
+    call.session->respond(200);
   });
   max_file_bytes = 4096;
   start();
-  int taken = 0;
-  while (taken < 100 && submit("m" + std::to_string(taken), kUnsafe, std::string(200, 'x')) == 202U) taken++;
-  EXPECT_GT(taken, 1);
-  ASSERT_LT(taken, 100);
-  EXPECT_EQ(submit("late", kUnsafe), 503U);
+  int accepted = 0;
+  while (accepted < 100 &&
+         submit("m" + std::to_string(accepted), kNonIdempotentClass, std::string(200, 'x')) == 202U)
+    accepted++;
+  EXPECT_GT(accepted, 1);
+  ASSERT_LT(accepted, 100);
+  EXPECT_EQ(submit("late", kNonIdempotentClass), 503U);
   EXPECT_EQ(health_status(), 503U);
-  const rlimit any{RLIM_INFINITY, RLIM_INFINITY};
-  ASSERT_EQ(::prlimit(relay_pid, RLIMIT_FSIZE, &any, nullptr), 0);
-  wait_for([&] { return health_status() == 200; }, "it can be written again");
-  EXPECT_EQ(submit("after", kUnsafe), 202U);
-  const auto was_called = [&](const std::string& id) { return std::count(called.begin(), called.end(), id); };
-  wait_for([&] { return was_called("after") == 1; }, "the call");
-  for (int i = 0; i < taken; i++) EXPECT_EQ(was_called("m" + std::to_string(i)), 1) << i;
-  EXPECT_EQ(was_called("m" + std::to_string(taken)), 0) << "it was refused";
+  const rlimit no_limit{RLIM_INFINITY, RLIM_INFINITY};
+  ASSERT_EQ(::prlimit(relay_pid, RLIMIT_FSIZE, &no_limit, nullptr), 0);
+  wait_for([&] { return health_status() == 200; }, "the journal to be writable again");
+  EXPECT_EQ(submit("after", kNonIdempotentClass), 202U);
+  const auto call_count = [&](const std::string& id) {
+    return std::count(called_ids.begin(), called_ids.end(), id);
+  };
+  wait_for([&] { return call_count("after") == 1; }, "the call");
+  for (int i = 0; i < accepted; i++) EXPECT_EQ(call_count("m" + std::to_string(i)), 1) << i;
+  EXPECT_EQ(call_count("m" + std::to_string(accepted)), 0) << "the message was refused";
   EXPECT_EQ(final_notices, "");
 }
 
-// Thousands of endpoint ids and client connections, many at the address of one that is gone: what the process
-// holds at the end is what it held after the first few.
-TEST_F(RelayTest, ChurnLeavesNothingBehind) {
+// Hundreds of endpoints are added, each at the address of one that is removed, and hundreds of clients
+// connect and disconnect. At the end the relay must hold about as many descriptors and as much memory as
+// after the first 200.
+TEST_F(RelayTest, EndpointAndClientChurnLeaksNothing) {
   start();
   wait_for([&] { return !watches.empty(); }, "the watch");
-  std::size_t files = 0;
-  [[maybe_unused]] long memory = 0;  // not looked at under sanitizers
+  std::size_t warm_descriptors = 0;
+  [[maybe_unused]] long warm_memory_kib = 0;  // not compared under sanitizers
   for (int i = 0; i < 600; i++) {
     const std::string id = std::to_string(i);
     send_watch_line(
@@ -568,56 +599,65 @@
                           (i == 0 ? endpoint_entry("s-1", endpoint.address(), "gone")
                                   : endpoint_entry("e" + std::to_string(i - 1), endpoint.address(), "gone")),
                       false));
-    ASSERT_EQ(submit("m" + id, kSafe, std::string(2000, 'x')), 202U);
+    ASSERT_EQ(submit("m" + id, kIdempotentClass, std::string(2000, 'x')), 202U);
     close_clients();
     wait_for([&] { return endpoint.received.size() == static_cast<std::size_t>(i) + 1; }, "the call");
     if (HasFatalFailure()) return;
-    if (i == 200) files = descriptor_count(), memory = resident_kib();
+    if (i == 200) {
+      warm_descriptors = descriptor_count();
+      warm_memory_kib = resident_kib();
+    }
   }
-  EXPECT_LE(descriptor_count(), files + 4);
+  EXPECT_LE(descriptor_count(), warm_descriptors + 4);
 #ifndef __SANITIZE_ADDRESS__
-  EXPECT_LE(resident_kib(), memory + 512);
+  EXPECT_LE(resident_kib(), warm_memory_kib + 512);
 #endif
 }
 
-// ---- Notes between relays. ----
-// A refusal is told to the others; what a stranger sends, or makes no sense, or is too long, changes nothing.
-TEST_F(RelayTest, NotesGoToPeersAndGarbageIsDropped) {
+// ---- Gossip between relays. ----
+// The rejection of a call is sent to the peers. Datagrams that are malformed, too long or from an address
+// that is not among the peers have no effect.
+TEST_F(RelayTest, RejectionIsSentToPeersAndInvalidGossipIsIgnored) {
   using udp = net::ip::udp;
-  const auto here = net::ip::make_address(loopback_address());
-  udp::socket peer(io, {here, 0}), everyone(io, {here, 0}), stranger(io, {here, 0}), probe(io, {here, 0});
-  const auto own = probe.local_endpoint();
+  const auto host = net::ip::make_address(loopback_address());
+  udp::socket peer(io, {host, 0});
+  udp::socket broadcast(io, {host, 0});
+  udp::socket stranger(io, {host, 0});
+  udp::socket probe(io, {host, 0});
+  const auto relay_address = probe.local_endpoint();
   probe.close();
-  const auto text = [](const udp::endpoint& e) {
-    return "\"" + e.address().to_string() + ":" + std::to_string(e.port()) + "\"";
+  const auto quoted = [](const udp::endpoint& address) {
+    return "\"" + address.address().to_string() + ":" + std::to_string(address.port()) + "\"";
   };
-  extra_config = ",\"peer_listen\":" + text(own) + ",\"peers\":[" + text(own) + "," +
-                 text(peer.local_endpoint()) + "],\"peers_all\":" + text(everyone.local_endpoint());
+  extra_config = ",\"peer_listen\":" + quoted(relay_address) + ",\"peers\":[" + quoted(relay_address) + "," +
+                 quoted(peer.local_endpoint()) + "],\"peers_all\":" + quoted(broadcast.local_endpoint());
   int calls = 0;
-  endpoint.on_request([&](const ReceivedRequest& g) { g.session->respond(++calls == 1 ? 503 : 200); });
+  endpoint.on_request([&](const ReceivedRequest& call) { call.session->respond(++calls == 1 ? 503 : 200); });
   start();
-  for (auto* from : {&peer, &stranger})
-    for (const std::string& note :
+  for (auto* sender : {&peer, &stranger})
+    for (const std::string& datagram :
          {std::string(""), std::string("1rno-such-endpoint"), std::string(400, '\xff')})
-      from->send_to(net::buffer(note), own);
-  std::array<char, 300> note{};
-  std::size_t size = 0;
-  udp::endpoint from;
-  everyone.async_receive_from(net::buffer(note), from, [&](error_code, std::size_t n) { size = n; });
-  EXPECT_EQ(submit("m1", kSafe), 202U);
-  wait_for([&] { return size > 0; }, "the note");
-  EXPECT_EQ(std::string(note.data(), size), "1rs-1");
-  EXPECT_EQ(from, own);
-  wait_for([&] { return calls == 2; }, "the call is made again");
+      sender->send_to(net::buffer(datagram), relay_address);
+  std::array<char, 300> received{};
+  std::size_t received_bytes = 0;
+  udp::endpoint sender_address;
+  broadcast.async_receive_from(net::buffer(received), sender_address,
+                               [&](error_code, std::size_t bytes) { received_bytes = bytes; });
+  EXPECT_EQ(submit("m1", kIdempotentClass), 202U);
+  wait_for([&] { return received_bytes > 0; }, "the gossip");
+  EXPECT_EQ(std::string(received.data(), received_bytes), "1rs-1");
+  EXPECT_EQ(sender_address, relay_address);
+  wait_for([&] { return calls == 2; }, "the retry");
 }
 
-// ---- Spoilt answers. ----
-// Whatever its first line says but 200: an answer that can't be read may have run, so the message ends there,
-// and its connection, which stays open, is not used again. A 200 line delivers, also before noise or a body
-// without end; the call that waits for the rest is let go soon.
-TEST_F(RelayTest, SpoiltAnswers) {
+// ---- Malformed responses. ----
+// If a response is malformed and its status line is not one with status 200, whatever the status, the message
+// may have been executed: it ends with a final notice, and the connection is not reused although it stays
+// open. A status line with status 200 counts as delivery, even if malformed bytes or an endless body follow
+// it. A call that waits for the rest of such a response ends soon.
+TEST_F(RelayTest, MalformedResponseIsJudgedByItsStatusLine) {
   struct Case {
-    const char* answer;
+    const char* response;
     bool delivered;
   };
   const std::vector<Case> cases = {
@@ -633,118 +673,129 @@
       {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Load: x0=nan\r\nContent-Length: 0\r\n\r\n", true},
   };
   std::size_t calls = 0;
-  endpoint.on_request([&](const ReceivedRequest& g) {
-    const auto i = calls++ / 2;  // each spoilt answer, then a good one
-    calls % 2 == 1 ? g.session->write(cases[i].answer) : g.session->respond(200);
+  endpoint.on_request([&](const ReceivedRequest& call) {
+    const auto i = calls++ / 2;  // each malformed response is followed by a valid one
+    calls % 2 == 1 ? call.session->write(cases[i].response) : call.session->respond(200);
   });
   start();
-  std::string expected;
+  std::string expected_notices;
   for (std::size_t i = 0; i < cases.size(); i++) {
     const std::string id = "m" + std::to_string(i);
-    EXPECT_EQ(submit(id, kUnsafe, "x", "24000m"), 202U);
+    EXPECT_EQ(submit(id, kNonIdempotentClass, "x", "24000m"), 202U);
     wait_for([&] { return calls == 2 * i + 1; }, "the call");
-    if (!cases[i].delivered) expected += "{\"id\":\"" + id + "\",\"status\":\"undeliverable\"}\n";
-    wait_for([&] { return final_notices == expected; }, "the notices");
-    EXPECT_EQ(submit("n" + std::to_string(i), kUnsafe, "x", "24000m"), 202U);
+    if (!cases[i].delivered) expected_notices += "{\"id\":\"" + id + "\",\"status\":\"undeliverable\"}\n";
+    wait_for([&] { return final_notices == expected_notices; }, "the notices");
+    EXPECT_EQ(submit("n" + std::to_string(i), kNonIdempotentClass, "x", "24000m"), 202U);
     wait_for([&] { return calls == 2 * i + 2; }, "the next call");
-    EXPECT_EQ(endpoint.received.back().request["X-Request-Id"], "n" + std::to_string(i)) << cases[i].answer;
+    EXPECT_EQ(endpoint.received.back().request["X-Request-Id"], "n" + std::to_string(i)) << cases[i].response;
     EXPECT_EQ(endpoint.received[2 * i].session == endpoint.received[2 * i + 1].session,
               i + 1 == cases.size());
   }
-  EXPECT_EQ(final_notices, expected);
+  EXPECT_EQ(final_notices, expected_notices);
 }
 
-// A second answer behind a good one must not answer the next call.
-TEST_F(RelayTest, ASecondAnswerIsNotTheNextCalls) {
+// A surplus response that follows a valid one must not be taken for the response to the next call.
+TEST_F(RelayTest, SurplusResponseIsNotTakenForNextCall) {
   std::size_t calls = 0;
-  endpoint.on_request([&](const ReceivedRequest& g) {
-    if (++calls == 1) return g.session->respond(200), g.session->respond(200);
-    if (calls > 2) g.session->respond(200);
+  endpoint.on_request([&](const ReceivedRequest& call) {
+    if (++calls == 1) {
+      call.session->respond(200);
+      return call.session->respond(200);
+    }
+    if (calls > 2) call.session->respond(200);
   });
   start();
-  EXPECT_EQ(submit("m1", kSafe), 202U);
+  EXPECT_EQ(submit("m1", kIdempotentClass), 202U);
   wait_for([&] { return calls == 1; }, "the first call");
-  EXPECT_EQ(submit("m2", kSafe, "x", "6000m"), 202U);
+  EXPECT_EQ(submit("m2", kIdempotentClass, "x", "6000m"), 202U);
   wait_for([&] { return calls >= 2; }, "the second call");
   endpoint.received[1].session->close();
-  wait_for([&] { return calls == 3; }, "it had no answer, so it is sent again");
+  wait_for([&] { return calls == 3; }, "the retry of the call without a response");
   EXPECT_EQ(endpoint.received[2].request["X-Request-Id"], "m2");
 }
 
-// An answer of brackets alone: a parser that calls itself for each would overrun its stack.
-TEST_F(RelayTest, ABundleAnswerOfBracketsIsSurvived) {
+// The response consists of opening brackets only. A parser that recurses for each of them would overflow its
+// stack.
+TEST_F(RelayTest, DeeplyNestedBatchResponseDoesNotCrash) {
   endpoint_entries = endpoint_entry("s-1", endpoint.address(), "ready", "big");
-  int bundles = 0, calls = 0;
-  endpoint.on_request([&](const ReceivedRequest& g) {
-    if (g.request.target() != "/events/bundle")
-      return g.session->respond(200, ++calls == 1 ? "X-Come-Back-Ms: 800\r\n" : "");
-    g.session->respond(200, "", ++bundles == 1 ? std::string(60'000, '[') : "[]");
+  int batches = 0;
+  int calls = 0;
+  endpoint.on_request([&](const ReceivedRequest& call) {
+    if (call.request.target() != "/events/bundle")
+      return call.session->respond(200, ++calls == 1 ? "X-Come-Back-Ms: 800\r\n" : "");
+    call.session->respond(200, "", ++batches == 1 ? std::string(60'000, '[') : "[]");
   });
   start();
-  EXPECT_EQ(submit("m0", kSafe), 202U);
-  wait_for([&] { return calls == 1; }, "the wait is told");
-  for (const std::string id : {"m1", "m2"}) EXPECT_EQ(submit(id, kUnsafe), 202U);
+  EXPECT_EQ(submit("m0", kIdempotentClass), 202U);
+  wait_for([&] { return calls == 1; }, "the call whose response requests the delay");
+  for (const std::string id : {"m1", "m2"}) EXPECT_EQ(submit(id, kNonIdempotentClass), 202U);
   wait_for([&] { return std::count(final_notices.begin(), final_notices.end(), '\n') == 2; },
-           "both may have run");
+           "the notices of both messages, which may have been executed");
   EXPECT_EQ(health_status(), 200U);
 }
 
-// ---- Bad clients. ----
-// Half a request, silence, heads without end: each is closed within 3 s of its connecting.
-TEST_F(RelayTest, BadClientsAreLetGoInTime) {
+// ---- Misbehaving clients. ----
+// A connection on which the client sends nothing or only a part of a request is closed within 3 s after
+// it was opened.
+TEST_F(RelayTest, IncompleteRequestsTimeOut) {
   start();
-  const auto began = steady_clock::now();
-  std::vector<std::shared_ptr<Client>> bad;
+  const auto start_time = steady_clock::now();
+  std::vector<std::shared_ptr<Client>> incomplete;
   for (const std::string& bytes :
        {std::string(), std::string("POST /load-st"), std::string("POST /load-status HTTP/1.1\r\nX-A: b\r\n"),
-        request("m1", kSafe).substr(0, request("m1", kSafe).size() - 2),
+        request("m1", kIdempotentClass).substr(0, request("m1", kIdempotentClass).size() - 2),
         std::string("POST /load-status HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab")}) {
-    bad.push_back(connect());
-    bad.back()->write(bytes);
+    incomplete.push_back(connect());
+    incomplete.back()->write(bytes);
   }
-  wait_for([&] { return std::all_of(bad.begin(), bad.end(), [](const auto& c) { return c->closed; }); },
-           "all are closed");
-  EXPECT_LT(steady_clock::now() - began, milliseconds(2950));
-  EXPECT_EQ(submit("m2", kSafe), 202U);
+  wait_for(
+      [&] {
+        return std::all_of(incomplete.begin(), incomplete.end(),
+                           [](const auto& client) { return client->closed; });
+      },
+      "all connections to close");
+  EXPECT_LT(steady_clock::now() - start_time, milliseconds(2950));
+  EXPECT_EQ(submit("m2", kIdempotentClass), 202U);
 }
 
-// Unusable requests get an error and the connection's end; what stands behind them is not read as a request.
-TEST_F(RelayTest, NothingBehindABadRequestIsTakenOn) {
+// An invalid request is answered with an error, and its connection is closed. The bytes that follow it are
+// not processed as a request.
+TEST_F(RelayTest, RequestBehindInvalidRequestIsNotProcessed) {
   start();
-  wait_for([&] { return !watches.empty(); }, "the list is told");
-  wait_for([&] { return submit("m0", kSafe) == 202U; }, "service");
-  const std::string hidden = request("hidden", kUnsafe);
-  const std::string both =
+  wait_for([&] { return !watches.empty(); }, "the endpoint list");
+  wait_for([&] { return submit("m0", kIdempotentClass) == 202U; }, "a message to be accepted");
+  const std::string hidden = request("hidden", kNonIdempotentClass);
+  const std::string two_lengths =
       "POST /load-status HTTP/1.1\r\nX-Request-Id: m1\r\nX-Deadline: 480m\r\n"
       "X-Consignee: dest=7\r\nContent-Length: " +
       std::to_string(hidden.size() + 5) + "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-  std::string elsewhere = request("m2", kSafe);
-  elsewhere.replace(elsewhere.find("dest=7"), 6, "dest=99");
-  for (const auto& first :
-       {both, elsewhere, request("m3", "no-such-class"), std::string("\x16\x03\x01\r\n\r\n")}) {
+  std::string unknown_destination = request("m2", kIdempotentClass);
+  unknown_destination.replace(unknown_destination.find("dest=7"), 6, "dest=99");
+  for (const auto& invalid : {two_lengths, unknown_destination, request("m3", "no-such-class"),
+                              std::string("\x16\x03\x01\r\n\r\n")}) {
     const auto client = connect();
-    client->write(first + hidden);
-    wait_for([&] { return client->closed; }, "the end");
+    client->write(invalid + hidden);
+    wait_for([&] { return client->closed; }, "the connection to close");
     ASSERT_EQ(client->responses.size(), 1U);
     EXPECT_GE(client->responses[0].result_int(), 400U);
     EXPECT_LT(client->responses[0].result_int(), 500U);
   }
-  EXPECT_EQ(submit("m9", kSafe), 202U);
+  EXPECT_EQ(submit("m9", kIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() >= 2; }, "the calls");
   EXPECT_EQ(endpoint.received.size(), 2U);
 }
 
-// Of two that hand in one id at once, the second is told what the first is told.
-TEST_F(RelayTest, TwinsShareOneAnswer) {
+// If two clients submit the same id at the same time, both receive the same response.
+TEST_F(RelayTest, ConcurrentSubmissionsOfOneIdReceiveSameResponse) {
   endpoint.on_request(leave_unanswered);
   start();
   std::vector<std::shared_ptr<Client>> pairs;
   for (int i = 0; i < 100; i++) {
     pairs.push_back(connect());
-    pairs.back()->write(request("m" + std::to_string(i / 2), kUnsafe, "x", "24000m"));
+    pairs.back()->write(request("m" + std::to_string(i / 2), kNonIdempotentClass, "x", "24000m"));
   }
-  const auto told = [](const auto& c) { return c->responses.size() == 1; };
-  wait_for([&] { return std::all_of(pairs.begin(), pairs.end(), told); }, "all answers");
+  const auto has_response = [](const auto& client) { return client->responses.size() == 1; };
+  wait_for([&] { return std::all_of(pairs.begin(), pairs.end(), has_response); }, "all responses");
   int refused = 0;
   for (std::size_t i = 0; i < pairs.size(); i += 2) {
     EXPECT_EQ(pairs[i]->responses[0].result_int(), pairs[i + 1]->responses[0].result_int()) << i;
@@ -754,171 +805,186 @@
   EXPECT_GT(refused, 0);
 }
 
-// The id of a message that is over: sent again it would take effect twice.
-TEST_F(RelayTest, AnIdThatIsOverIsNotSentAgain) {
+// A client submits the id of a completed message again. If the message were sent again, it would take effect
+// twice.
+TEST_F(RelayTest, CompletedIdIsNotSentAgain) {
   start();
-  EXPECT_EQ(submit("m1", kUnsafe), 202U);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() == 1; }, "the call");
-  EXPECT_EQ(submit("m2", kUnsafe), 202U);  // by now the first one's answer is read
+  EXPECT_EQ(submit("m2", kNonIdempotentClass), 202U);  // the response to the first call has been read by now
   wait_for([&] { return endpoint.received.size() == 2; }, "the second call");
-  EXPECT_EQ(submit("m1", kUnsafe), 202U);
-  EXPECT_EQ(submit("m3", kUnsafe), 202U);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
+  EXPECT_EQ(submit("m3", kNonIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() >= 3; }, "the third call");
   EXPECT_EQ(endpoint.received[2].request["X-Request-Id"], "m3");
 }
 
-// ---- New configurations. ----
-// Discovery moves under load: the list and the notices, one of them in flight, go to the new address at once,
-// whose index is lower than the old one's; what the new list does not name is gone.
-TEST_F(RelayTest, SighupMovesToAnotherDiscovery) {
-  bool silent = false;
-  std::string new_finals, asked;
+// ---- Reloads of the configuration. ----
+// The address of discovery changes while the relay delivers messages and a final notice is in flight. The
+// watch and the notices, including the one in flight, move to the new address at once. The index of its list
+// is lower than that of the former list. Endpoints that are not in the new list are removed.
+TEST_F(RelayTest, SighupMovesWatchAndNoticesToNewDiscovery) {
+  bool platform_silent = false;
+  std::string moved_notices;
+  std::string watch_target;
   FakeServer other(io, respond_ok);
-  FakeServer moved(io, [&](const ReceivedRequest& g) {
-    if (g.request.method() == http::verb::post) {
-      new_finals += g.request.body();
-      return g.session->respond(204);
+  FakeServer moved(io, [&](const ReceivedRequest& incoming) {
+    if (incoming.request.method() == http::verb::post) {
+      moved_notices += incoming.request.body();
+      return incoming.session->respond(204);
     }
-    asked = std::string(g.request.target());
-    g.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    watch_target = std::string(incoming.request.target());
+    incoming.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     const std::string line =
         R"({"index":3,"snapshot":true,"endpoints":[)" + endpoint_entry("s-2", other.address()) + "]}\n";
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size());
-    g.session->write(size + line + "\r\n");
+    incoming.session->write(size + line + "\r\n");
   });
-  endpoint.on_request(
-      [](const ReceivedRequest& g) { g.session->close(); });  // each unsafe message ends by a notice
+  // Each non-idempotent message ends with a final notice.
+  endpoint.on_request([](const ReceivedRequest& call) { call.session->close(); });
   start();
   wait_for([&] { return watches.size() == 1; }, "the first watch");
-  std::size_t in_flight = 0;
-  platform.on_request([&](const ReceivedRequest& g) {
-    if (!silent) return handle_platform_request(g);
-    in_flight += g.request.method() == http::verb::post;
+  std::size_t notices_in_flight = 0;
+  platform.on_request([&](const ReceivedRequest& incoming) {
+    if (!platform_silent) return handle_platform_request(incoming);
+    notices_in_flight += incoming.request.method() == http::verb::post;
   });
-  silent = true;
-  EXPECT_EQ(submit("m1", kUnsafe), 202U);
-  wait_for([&] { return in_flight == 1; }, "a notice in flight");
+  platform_silent = true;
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
+  wait_for([&] { return notices_in_flight == 1; }, "a notice in flight");
   reload(config(moved.address()));
-  wait_for([&] { return !new_finals.empty() && !asked.empty(); }, "both go to the new address");
-  EXPECT_EQ(new_finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
-  EXPECT_EQ(asked, "/catalog/members?follow=1&since=0");
-  wait_for([&] { return watches[0]->closed; }, "the old watch is closed");
-  EXPECT_EQ(submit("m2", kUnsafe), 202U);
+  wait_for([&] { return !moved_notices.empty() && !watch_target.empty(); },
+           "the notice and the watch at the new address");
+  EXPECT_EQ(moved_notices, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
+  EXPECT_EQ(watch_target, "/catalog/members?follow=1&since=0");
+  wait_for([&] { return watches[0]->closed; }, "the former watch to close");
+  EXPECT_EQ(submit("m2", kNonIdempotentClass), 202U);
   wait_for([&] { return other.received.size() == 1; }, "the call to the endpoint of the new list");
-  EXPECT_EQ(platform.sessions.size(), 2U) << "nothing new goes to the old address";
+  EXPECT_EQ(platform.sessions.size(), 2U) << "no new connection to the former address";
 }
 
-// A moved discovery may begin with changes alone: what it lists is then asked for as a whole, else an
-// endpoint that went before them would stay.
-TEST_F(RelayTest, AfterAMoveTheWholeListIsTaken) {
+// The discovery at the new address may send only changes at first. The relay must then fetch the complete
+// list: otherwise an endpoint that was removed before these changes would stay in use.
+TEST_F(RelayTest, CompleteListIsFetchedFromNewDiscovery) {
   FakeServer other(io, respond_ok);
-  int fetched = 0;
-  FakeServer moved(io, [&](const ReceivedRequest& g) {
-    const auto text = [&](const std::string& names, bool whole) {
-      return R"({"index":3,"snapshot":)" + std::string(whole ? "true" : "false") + R"(,"endpoints":[)" +
-             names + "]}\n";
+  int fetches = 0;
+  FakeServer moved(io, [&](const ReceivedRequest& incoming) {
+    const auto list = [&](const std::string& entries, bool snapshot) {
+      return R"({"index":3,"snapshot":)" + std::string(snapshot ? "true" : "false") + R"(,"endpoints":[)" +
+             entries + "]}\n";
     };
-    if (g.request.target() == "/catalog/members") {
-      fetched++;
-      return g.session->respond(200, "", text(endpoint_entry("s-2", other.address()), true));
+    if (incoming.request.target() == "/catalog/members") {
+      fetches++;
+      return incoming.session->respond(200, "", list(endpoint_entry("s-2", other.address()), true));
     }
-    const std::string line = text(endpoint_entry("s-2", other.address()), false);
+    const std::string line = list(endpoint_entry("s-2", other.address()), false);
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size());
-    g.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + (size + line) + "\r\n");
+    incoming.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + (size + line) + "\r\n");
   });
   start();
-  EXPECT_EQ(submit("m0", kSafe), 202U);
+  EXPECT_EQ(submit("m0", kIdempotentClass), 202U);
   wait_for([&] { return watches.size() == 1 && endpoint.received.size() == 1; }, "the first watch and call");
   reload(config(moved.address()));
-  wait_for([&] { return fetched == 1 && endpoint.sessions[0]->closed; }, "the old endpoint is gone");
-  for (int i = 1; i < 5; i++) EXPECT_EQ(submit("m" + std::to_string(i), kSafe), 202U);
+  wait_for([&] { return fetches == 1 && endpoint.sessions[0]->closed; },
+           "the removal of the former endpoint");
+  for (int i = 1; i < 5; i++) EXPECT_EQ(submit("m" + std::to_string(i), kIdempotentClass), 202U);
   wait_for([&] { return other.received.size() == 4; }, "the calls");
   EXPECT_EQ(endpoint.received.size(), 1U);
-  EXPECT_EQ(fetched, 1);
+  EXPECT_EQ(fetches, 1);
 }
 
-// A file that can't be read is one line in the log; service goes on with the old one, and the next is taken.
-TEST_F(RelayTest, SighupWithABadFileChangesNothing) {
+// A configuration file that cannot be parsed is reported in the log. The relay continues with the present
+// configuration and applies the next valid file.
+TEST_F(RelayTest, SighupWithInvalidFileKeepsConfiguration) {
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   reload("{\"name\":");
   wait_for([&] { return log_text().find("configuration: not reloaded") != std::string::npos; },
-           "the line in the log");
-  EXPECT_EQ(submit("m1", kUnsafe), 202U);
+           "the log line");
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
   wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   EXPECT_EQ(watches.size(), 1U);
   EXPECT_FALSE(watches[0]->closed);
 }
 
-// ---- The configuration. ----
-// One line for each, and the service goes on without it.
-TEST_F(RelayTest, RefusedLocksAndLocalSocketsDoNotKeepItFromStarting) {
+// ---- Startup. ----
+// Each facility that the system lacks is reported in one log line, and the relay starts without it.
+TEST_F(RelayTest, StartsWithoutFileLocksAndLocalSockets) {
   deny_locks_and_local_sockets = true;
   start();
   const auto log = log_text();
   EXPECT_NE(log.find("going on without a lock"), std::string::npos) << log;
   EXPECT_NE(log.find("a next process has to wait"), std::string::npos) << log;
   const auto end = log.begin() + static_cast<std::ptrdiff_t>(log.find("listening as"));
-  EXPECT_EQ(std::count(log.begin(), end, '\n'), 2) << log;  // then it listens
+  EXPECT_EQ(std::count(log.begin(), end, '\n'), 2) << log;  // lines before the relay listens
 }
-TEST_F(RelayTest, ABadConfigurationIsOneLineAndAnExit) {
+
+TEST_F(RelayTest, InvalidConfigurationLogsOneLineAndExits) {
   endpoint_entries = endpoint_entry("s-1", endpoint.address());
-  const auto without = [this](const std::string& text, const std::string& by) {
-    std::string c = config();
-    c.replace(c.find(text), text.size(), by);
+  const auto log_after_replacing = [this](const std::string& valid, const std::string& invalid) {
+    std::string text = config();
+    text.replace(text.find(valid), valid.size(), invalid);
     std::filesystem::remove(folder + "/log");
-    spawn(c);
+    spawn(text);
     EXPECT_EQ(wait_for_exit(), 1);
     const auto log = log_text();
     EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << log;
     return log;
   };
-  EXPECT_NE(without("\"seed\"", "\"sead\"").find("config.seed"), std::string::npos);
-  EXPECT_NE(without("\"disk_mb\":3", "\"disk_mb\":\"much\"").find("config.limits.disk_mb"),
+  EXPECT_NE(log_after_replacing("\"seed\"", "\"sead\"").find("config.seed"), std::string::npos);
+  EXPECT_NE(log_after_replacing("\"disk_mb\":3", "\"disk_mb\":\"much\"").find("config.limits.disk_mb"),
+            std::string::npos);
+  EXPECT_NE(log_after_replacing("\"Workers\":8", "\"Workers\":0").find("max_calls_in_flight"),
             std::string::npos);
-  EXPECT_NE(without("\"Workers\":8", "\"Workers\":0").find("max_calls_in_flight"), std::string::npos);
-  EXPECT_NE(without("\"Workers\":8", "\"Walkers\":8").find("FamilyInfo.Workers"), std::string::npos);
-  EXPECT_NE(without("\"name\":\"s-1\"", "\"name\":1").find("known.endpoints.name"), std::string::npos);
-  EXPECT_NE(without("{\"name\"", "{{").find("config"), std::string::npos);
+  EXPECT_NE(log_after_replacing("\"Workers\":8", "\"Walkers\":8").find("FamilyInfo.Workers"),
+            std::string::npos);
+  EXPECT_NE(log_after_replacing("\"name\":\"s-1\"", "\"name\":1").find("known.endpoints.name"),
+            std::string::npos);
+  EXPECT_NE(log_after_replacing("{\"name\"", "{{").find("config"), std::string::npos);
 }
 
-// Many clients that stay connected must not shut out the next one, nor use up the descriptors.
+// ---- Limits on descriptors. ----
 class FewSocketsTest : public RelayTest {
  protected:
   std::string limits() override { return R"({"cores":1.0,"memory_mb":192,"sockets":64,"disk_mb":3})"; }
 };
-TEST_F(FewSocketsTest, IdleClientsMakeRoomForNewOnes) {
+
+// Many idle client connections must neither keep a new client from being served nor use up the descriptors.
+TEST_F(FewSocketsTest, IdleConnectionsAreClosedForNewClients) {
   start();
   for (int i = 0; i < 60; i++) ASSERT_NE(connect(), nullptr);
-  EXPECT_EQ(submit("m1", kSafe), 202U);
+  EXPECT_EQ(submit("m1", kIdempotentClass), 202U);
   wait_for([&] { return !endpoint.received.empty(); }, "the call");
   EXPECT_LE(descriptor_count(), 56U);
 }
 
-// Clients that ask once and keep their connection hold places that others need: while room is short, an
-// answer ends its connection; else it keeps it.
-TEST_F(FewSocketsTest, WhereRoomIsShortAnAnswerEndsItsConnection) {
+// Clients that send one request and keep their connection open occupy places that other clients need. While
+// few places are free, a connection is closed after its response; otherwise it is kept open.
+TEST_F(FewSocketsTest, ConnectionIsClosedAfterResponseWhileFewPlacesAreFree) {
   start();
   close_clients();
-  int kept = 0, ended = 0;
+  int kept_open = 0;
+  int closed = 0;
   for (int i = 0; i < 40; i++) {
-    EXPECT_EQ(submit("m" + std::to_string(i), kSafe), 202U);
-    clients.back()->responses.back().keep_alive() ? kept++ : ended++;
+    EXPECT_EQ(submit("m" + std::to_string(i), kIdempotentClass), 202U);
+    clients.back()->responses.back().keep_alive() ? kept_open++ : closed++;
     if (i == 3) {
-      EXPECT_EQ(ended, 0);
+      EXPECT_EQ(closed, 0);
     }
   }
-  EXPECT_LT(kept, 20);  // places for clients
-  EXPECT_GT(ended, 20);
+  EXPECT_LT(kept_open, 20);  // the number of places for clients
+  EXPECT_GT(closed, 20);
   close_clients();
-  wait_for([&] { return submit("n", kSafe) == 202U && clients.back()->responses.back().keep_alive(); },
-           "room again");
+  wait_for(
+      [&] { return submit("n", kIdempotentClass) == 202U && clients.back()->responses.back().keep_alive(); },
+      "a connection to be kept open again");
 }
 
-// As many calls as the descriptors allow, whatever the settings say, with all client connections in use.
-TEST_F(FewSocketsTest, CallsOutStayWithinTheDescriptors) {
+// With all client connections in use, the number of calls in flight is limited by the descriptors even if the
+// settings allow more.
+TEST_F(FewSocketsTest, CallsInFlightStayWithinDescriptorLimit) {
   max_calls_in_flight = 300;
   endpoint.on_request(leave_unanswered);
   std::vector<std::unique_ptr<FakeServer>> others;
@@ -928,110 +994,123 @@
     endpoint_entries += "," + endpoint_entry("s-" + std::to_string(i), others.back()->address());
   }
   start();
-  const auto idle = descriptor_count();  // with those that the test itself hands down
-  std::size_t most = 0;
+  const auto idle_count = descriptor_count();  // includes those that the relay inherits from the test
+  std::size_t peak_count = 0;
   for (int i = 0; i < 40; i++) {
-    submit("m" + std::to_string(i), kUnsafe, "x", "24000m");
+    submit("m" + std::to_string(i), kNonIdempotentClass, "x", "24000m");
     ASSERT_NE(connect(), nullptr);
-    most = std::max(most, descriptor_count());
+    peak_count = std::max(peak_count, descriptor_count());
   }
-  EXPECT_LE(most, idle + 40);  // 64 less 24 for other files
+  EXPECT_LE(peak_count, idle_count + 40);  // the limit of 64 less 24 for other files
   EXPECT_EQ(health_status(), 200U);
 }
 
-// Crowds that say nothing, or half a request, come on: usual clients, also ones that kept their connection,
-// are served among them.
-TEST_F(FewSocketsTest, SilentCrowdsDoNotShutOutUsualClients) {
+// Many clients connect and send nothing or only a part of a request. Well-behaved clients are still served,
+// both on new connections and on one that is kept open.
+TEST_F(FewSocketsTest, SilentConnectionsDoNotBlockOtherClients) {
   start();
-  wait_for([&] { return submit("m", kSafe) == 202U; }, "service");
-  auto usual = connect();
-  usual->write(request("u", kSafe));
-  wait_for([&] { return usual->responses.size() == 1; }, "its first answer");
+  wait_for([&] { return submit("m", kIdempotentClass) == 202U; }, "a message to be accepted");
+  auto persistent = connect();
+  persistent->write(request("u", kIdempotentClass));
+  wait_for([&] { return persistent->responses.size() == 1; }, "the first response");
   for (int i = 0; i < 200; i++) {
     const auto silent = connect();
     ASSERT_NE(silent, nullptr);
     if (i % 2 == 0) silent->write("POST /load");
     if (i % 40 != 39) continue;
-    // Where room is short, the last answer said that its connection ends.
-    if (!usual->responses.empty() && !usual->responses.back().keep_alive()) usual = connect();
-    const auto before = usual->responses.size();
-    usual->write(request("u" + std::to_string(i), kSafe));
-    wait_for([&] { return usual->responses.size() > before || usual->closed; }, "the usual client's answer");
-    ASSERT_GT(usual->responses.size(), before);
-    EXPECT_EQ(usual->responses.back().result_int(), 202U);
-    EXPECT_EQ(submit("n" + std::to_string(i), kSafe), 202U);
+    // While few places are free, the last response has announced that its connection will be closed.
+    if (!persistent->responses.empty() && !persistent->responses.back().keep_alive()) persistent = connect();
+    const auto responses_before = persistent->responses.size();
+    persistent->write(request("u" + std::to_string(i), kIdempotentClass));
+    wait_for([&] { return persistent->responses.size() > responses_before || persistent->closed; },
+             "the response on the persistent connection");
+    ASSERT_GT(persistent->responses.size(), responses_before);
+    EXPECT_EQ(persistent->responses.back().result_int(), 202U);
+    EXPECT_EQ(submit("n" + std::to_string(i), kIdempotentClass), 202U);
   }
 }
 
-// Idle clients fill all the places there are while discovery is down, and the system grants not one
-// descriptor above the limit: calls, notices, the journal's second file and the configuration still get
-// theirs, clients with a request are taken on, and the list is read at the return.
-class IdleCrowdTest : public RelayTest {
+// During an outage of discovery, idle clients fill all places for clients, and the system grants no
+// descriptor above the limit. Calls, final notices, the second file of the journal and the configuration must
+// still get descriptors, clients with a request must be served, and the list must be read when discovery is
+// back.
+class DescriptorLimitTest : public RelayTest {
  protected:
-  IdleCrowdTest() { discovery_mode = "automatic", max_calls_in_flight = 300, max_descriptors = 64; }
+  DescriptorLimitTest() {
+    discovery_mode = "automatic";
+    max_calls_in_flight = 300;
+    max_descriptors = 64;
+  }
   std::string limits() override { return R"({"cores":1.0,"memory_mb":192,"sockets":64,"disk_mb":1})"; }
 };
-TEST_F(IdleCrowdTest, LeavesDescriptorsToAllElseWhileDiscoveryIsDown) {
+
+TEST_F(DescriptorLimitTest, IdleClientsLeaveDescriptorsDuringDiscoveryOutage) {
   std::size_t calls = 0;
-  std::vector<std::unique_ptr<FakeServer>> silent;
+  std::vector<std::unique_ptr<FakeServer>> silent_endpoints;
   for (int i = 0; i < 8; i++) {
-    silent.push_back(std::make_unique<FakeServer>(io, [&](const ReceivedRequest&) { calls++; }));
+    silent_endpoints.push_back(std::make_unique<FakeServer>(io, [&](const ReceivedRequest&) { calls++; }));
     endpoint_entries +=
-        (i == 0 ? "" : ",") + endpoint_entry("s-" + std::to_string(i), silent.back()->address());
+        (i == 0 ? "" : ",") + endpoint_entry("s-" + std::to_string(i), silent_endpoints.back()->address());
   }
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
-  platform.on_request([this](const ReceivedRequest& g) {
-    if (g.request.method() == http::verb::post) handle_platform_request(g);
+  platform.on_request([this](const ReceivedRequest& incoming) {
+    if (incoming.request.method() == http::verb::post) handle_platform_request(incoming);
   });
-  const auto before = platform.received.size();
+  const auto requests_before = platform.received.size();
   watches[0]->close();
-  const auto crowd = [this] {
+  const auto connect_idle_clients = [this] {
     for (int i = 0; i < 60; i++) ASSERT_NE(connect(), nullptr);
   };
-  for (std::size_t i = 0; i < 16; i++) {  // of 20 places for calls, which stay out
-    crowd();
-    ASSERT_EQ(submit("m" + std::to_string(i), kUnsafe, "x", "24000m"), 202U) << i;
-    wait_for([&] { return calls == i + 1; }, "its call");
+  for (std::size_t i = 0; i < 16; i++) {  // fewer than the 20 places for calls; the calls stay in flight
+    connect_idle_clients();
+    ASSERT_EQ(submit("m" + std::to_string(i), kNonIdempotentClass, "x", "24000m"), 202U) << i;
+    wait_for([&] { return calls == i + 1; }, "the call of the message");
   }
-  crowd();
-  silent[0]->received.at(0).session->close();
-  const std::string id(silent[0]->received[0].request["X-Request-Id"]);
+  connect_idle_clients();
+  silent_endpoints[0]->received.at(0).session->close();
+  const std::string id(silent_endpoints[0]->received[0].request["X-Request-Id"]);
   wait_for([&] { return final_notices.find("{\"id\":\"" + id + "\",\"status\":\"undeliverable\"}\n") == 0; },
            "the notice");
   reload(config());
-  wait_for([&] { return log_text().find("configuration reloaded") != std::string::npos; },
-           "the file is read");
-  wait_for([&] { return platform.received.size() >= before + 3; }, "discovery is asked on");
-  platform.on_request([this](const ReceivedRequest& g) { handle_platform_request(g); });
+  wait_for([&] { return log_text().find("configuration reloaded") != std::string::npos; }, "the reload");
+  wait_for([&] { return platform.received.size() >= requests_before + 3; }, "further requests to discovery");
+  platform.on_request([this](const ReceivedRequest& incoming) { handle_platform_request(incoming); });
   endpoint_entries = endpoint_entry("s-9", endpoint.address());
-  wait_for([&] { return watches.size() == 2; }, "the list at its return");
-  const std::string body(60'000, 'x');  // thirty of them fill the disk nearly twice
+  wait_for([&] { return watches.size() == 2; }, "the watch after the outage");
+  const std::string body(60'000, 'x');  // 30 of them are almost twice the limit on disk space
   for (int i = 0; i < 30; i++) {
-    crowd();
-    wait_for([&] { return submit("n" + std::to_string(i), kSafe, body) == 202U; }, "it is taken on");
+    connect_idle_clients();
+    wait_for([&] { return submit("n" + std::to_string(i), kIdempotentClass, body) == 202U; },
+             "the message to be accepted");
   }
-  wait_for([&] { return endpoint.received.size() >= 30; }, "their calls");
+  wait_for([&] { return endpoint.received.size() >= 30; }, "the calls of the messages");
   EXPECT_EQ(log_text().find("Too many open files"), std::string::npos) << log_text();
 }
 
-// All that the disk takes, of messages that are over and some that are held, and discovery never says a word:
-// the relay is ready all the same, and reads its journal in no more memory than the smallest relay has.
+// ---- Limits on disk space. ----
+// The journal is full of completed messages, with one open message, and discovery never responds. The relay
+// must become ready all the same, and must read the journal within the memory of the smallest configuration.
 class LargeDiskTest : public RelayTest {
  protected:
   std::string limits() override { return R"({"cores":1.0,"memory_mb":32,"sockets":256,"disk_mb":64})"; }
 };
-TEST_F(LargeDiskTest, IsReadyWithAFullJournalAndNoList) {
+
+TEST_F(LargeDiskTest, BecomesReadyWithFullJournalAndWithoutDiscovery) {
   constexpr std::uint64_t disk_bytes = 64'000'000;
   {
     Journal journal(folder + "/state", disk_bytes);
-    Message m;
-    m.id = "held", m.message_class = kUnsafe, m.destination = 7, m.deadline = wall_now() + 600'000'000;
-    journal.record_message(1, m);
-    m.body = std::string(60'000, 'x');
+    Message message;
+    message.id = "held";
+    message.message_class = kNonIdempotentClass;
+    message.destination = 7;
+    message.deadline = wall_now() + 600'000'000;
+    journal.record_message(1, message);
+    message.body = std::string(60'000, 'x');
     for (MessageId id = 2; journal.bytes_on_disk() < disk_bytes / 100 * 95; id++) {
-      m.id = "over" + std::to_string(id);
-      journal.record_message(id, m), journal.record_completed(id);
+      message.id = "over" + std::to_string(id);
+      journal.record_message(id, message);
+      journal.record_completed(id);
       ASSERT_TRUE(journal.commit());
     }
   }
@@ -1041,30 +1120,33 @@
 #ifndef __SANITIZE_ADDRESS__
   EXPECT_LT(peak_resident_kib(), 32'000);
 #endif
-  wait_for([&] { return endpoint.received.size() == 1; }, "the call of what was held");
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call of the open message");
   EXPECT_EQ(endpoint.received[0].request["X-Request-Id"], "held");
 }
 
-// The journal fills with large bodies: clients are refused, and served again once there is room.
+// While the journal is full of large bodies, clients are refused. Messages are accepted again once space is
+// free.
 class SmallDiskTest : public RelayTest {
  protected:
   std::string limits() override { return R"({"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":1})"; }
 };
-TEST_F(SmallDiskTest, AFullJournalRefusesAndRecovers) {
+
+TEST_F(SmallDiskTest, FullJournalRefusesMessagesUntilSpaceIsFree) {
   endpoint.on_request(leave_unanswered);
   start();
   const std::string body(60'000, 'x');
-  int n = 0;
-  while (n < 30 && submit("m" + std::to_string(n), kSafe, body) == 202U) n++;
-  EXPECT_GE(n, 3);
-  EXPECT_LT(n, 30);
-  for (const auto& g : endpoint.received) g.session->respond(200);
+  int accepted = 0;
+  while (accepted < 30 && submit("m" + std::to_string(accepted), kIdempotentClass, body) == 202U) accepted++;
+  EXPECT_GE(accepted, 3);
+  EXPECT_LT(accepted, 30);
+  for (const auto& call : endpoint.received) call.session->respond(200);
   endpoint.on_request(respond_ok);
   for (int i = 0; i < 40; i++)
-    wait_for([&] { return submit("n" + std::to_string(i), kSafe, body) == 202U; }, "there is room again");
+    wait_for([&] { return submit("n" + std::to_string(i), kIdempotentClass, body) == 202U; },
+             "a message to be accepted again");
   std::uintmax_t bytes = 0;
-  for (const auto& f : std::filesystem::directory_iterator(folder + "/state"))
-    if (f.is_regular_file()) bytes += f.file_size();
+  for (const auto& file : std::filesystem::directory_iterator(folder + "/state"))
+    if (file.is_regular_file()) bytes += file.file_size();
   EXPECT_LE(bytes, 1'000'000U);
 }
 
