--- a/tests/delivery_client_test.cpp
+++ b/tests/delivery_client_test.cpp
@@ -13,10 +13,10 @@
 
 class DeliveryClientTest : public ::testing::Test {
  protected:
-  DeliveryClientTest() : endpoint(io, stay_silent) {
+  DeliveryClientTest() : endpoint(io, leave_unanswered) {
     const std::string address = endpoint.address();
     const auto port = std::stoi(address.substr(address.rfind(':') + 1));
-    client.set_address("s-1", {net::ip::make_address(own_address()), static_cast<std::uint16_t>(port)});
+    client.set_address("s-1", {net::ip::make_address(loopback_address()), static_cast<std::uint16_t>(port)});
   }
   static DeliveryLimits limits() {
     DeliveryLimits limits;
@@ -31,7 +31,7 @@
   }
   template <class Condition>
   void wait_for(Condition condition, const char* what) {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kConditionTimeout;
     while (!condition()) {
       ASSERT_LT(std::chrono::steady_clock::now(), until) << "timed out waiting for " << what;
       io.restart();
@@ -40,7 +40,7 @@
   }
 
   net::io_context io;
-  Server endpoint;
+  FakeServer endpoint;
   std::vector<AttemptEnded> ended;  // attempts that the client reported
   DeliveryClient client{io, limits(), [this](const AttemptEnded& event) { ended.push_back(event); }};
 };
@@ -49,8 +49,8 @@
 // otherwise a second copy would be in flight.
 TEST_F(DeliveryClientTest, ACancelledMessageOfABatchIsInFlightUntilTheCallEnds) {
   client.send("s-1", {message(1, kLongTimeout), message(2, kLongTimeout)});
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-  EXPECT_EQ(endpoint.got[0].request.target(), "/events/bundle");
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
+  EXPECT_EQ(endpoint.received[0].request.target(), "/events/bundle");
   client.cancel(1, 0);
   EXPECT_TRUE(ended.empty());
   EXPECT_EQ(client.in_flight_count(), 1U);
@@ -58,7 +58,7 @@
   EXPECT_EQ(client.in_flight_count(), 0U);
   ASSERT_EQ(ended.size(), 2U);
   for (const auto& event : ended) EXPECT_EQ(event.outcome, Outcome::cancelled);
-  wait_for([&] { return endpoint.sessions[0]->ended; }, "its connection is closed");
+  wait_for([&] { return endpoint.sessions[0]->closed; }, "its connection is closed");
 }
 
 // A response that is in time for other messages of the batch also counts for a message whose own timeout has
@@ -66,10 +66,11 @@
 TEST_F(DeliveryClientTest, AResponseCountsForAMessageOfTheBatchThatTimedOut) {
   const Time sent_at = steady_now();
   client.send("s-1", {message(1, kShortTimeout), message(2, kLongTimeout)});
-  wait_for([&] { return endpoint.got.size() == 1 && steady_now() > sent_at + 2 * kShortTimeout; },
+  wait_for([&] { return endpoint.received.size() == 1 && steady_now() > sent_at + 2 * kShortTimeout; },
            "the timeout of the first message");
   EXPECT_TRUE(ended.empty());
-  endpoint.got[0].session->answer(200, "", R"([{"id":"m1","state":"done"},{"id":"m2","state":"busy"}])");
+  endpoint.received[0].session->respond(200, "",
+                                        R"([{"id":"m1","state":"done"},{"id":"m2","state":"busy"}])");
   wait_for([&] { return ended.size() == 2; }, "the end of both attempts");
   EXPECT_EQ(ended[0].outcome, Outcome::succeeded);
   EXPECT_TRUE(ended[0].message_settled);
@@ -82,9 +83,9 @@
   auto earliest = message(1, kLongTimeout);
   earliest.time_to_deadline = kShortTimeout;
   client.send("s-1", {message(2, kLongTimeout), std::move(earliest)});
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-  EXPECT_EQ(endpoint.got[0].request["X-Deadline"], std::to_string(kShortTimeout) + "u");
-  wait_for([&] { return endpoint.sessions[0]->ended; }, "its connection is closed");
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
+  EXPECT_EQ(endpoint.received[0].request["X-Deadline"], std::to_string(kShortTimeout) + "u");
+  wait_for([&] { return endpoint.sessions[0]->closed; }, "its connection is closed");
   ASSERT_EQ(ended.size(), 2U);
   for (const auto& event : ended) EXPECT_EQ(event.outcome, Outcome::timeout);
 }
@@ -103,7 +104,7 @@
 // opened, since the endpoint's backlog of one is full.
 TEST_F(DeliveryClientTest, ARetryThatExpiresWhileConnectingIsNotSent) {
   tcp::acceptor acceptor(io, tcp::v4());
-  acceptor.bind({net::ip::make_address(own_address()), 0});
+  acceptor.bind({net::ip::make_address(loopback_address()), 0});
   acceptor.listen(0);
   tcp::socket queued(io);  // fills the backlog
   queued.connect(acceptor.local_endpoint());
@@ -133,8 +134,8 @@
 // journal's records.
 TEST_F(DeliveryClientTest, AnExpiredRetryIsNotSentOnAnIdleConnection) {
   client.send("s-1", {message(1, kLongTimeout)});
-  wait_for([&] { return endpoint.got.size() == 1; }, "the first call");
-  endpoint.got[0].session->answer(200);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the first call");
+  endpoint.received[0].session->respond(200);
   wait_for([&] { return ended.size() == 1; }, "the response to it");
   auto expired = message(2, kLongTimeout);
   expired.start_by = steady_now();
@@ -142,8 +143,8 @@
   wait_for([&] { return ended.size() == 2; }, "the end of the expired attempt");
   EXPECT_EQ(ended[1].outcome, Outcome::not_sent);
   client.send("s-1", {message(3, kLongTimeout)});
-  wait_for([&] { return endpoint.got.size() == 2; }, "the next call");
-  EXPECT_EQ(endpoint.got[1].request["X-Request-Id"], "m3");
+  wait_for([&] { return endpoint.received.size() == 2; }, "the next call");
+  EXPECT_EQ(endpoint.received[1].request["X-Request-Id"], "m3");
 }
 
 }  // namespace
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -34,7 +34,7 @@
   // Starts a second process, of the program just built, next to the running one, whose process id moves to
   // `predecessor`.
   void start_successor() {
-    predecessor = child;
+    predecessor = relay_pid;
     program = MESSAGE_RELAY_PROGRAM;
     spawn(config());
   }
@@ -183,90 +183,91 @@
 // The successor takes over calls in flight, client connections, the listening socket and the open messages:
 // no connection is closed and no message is sent twice.
 TEST_F(HandoverTest, SuccessorTakesOverCallsConnectionsAndMessages) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
   const auto client = connect();
   client->write(request("m1", kNonIdempotentClass));
-  wait_for([&] { return client->answers.size() == 1 && endpoint.got.size() == 1; }, "a call is in flight");
+  wait_for([&] { return client->responses.size() == 1 && endpoint.received.size() == 1; },
+           "a call is in flight");
   start_successor();
   wait_for_predecessor_exit();
   client->write(request("m2", kNonIdempotentClass));
-  wait_for([&] { return client->answers.size() == 2; }, "the response on the connection opened before");
-  EXPECT_EQ(client->answers[1].result_int(), 202U);
-  EXPECT_EQ(hand_in("m1", kNonIdempotentClass), 202U);  // the successor knows its id, too
-  wait_for([&] { return endpoint.got.size() == 2; }, "the second call");
-  EXPECT_EQ(endpoint.got[1].request["X-Request-Id"], "m2");
-  EXPECT_FALSE(endpoint.got[0].session->ended);
-  for (const auto& got : std::vector<Got>(endpoint.got)) got.session->answer(200);
-  endpoint.on_request(answer_ok);
-  EXPECT_EQ(hand_in("m3", kReadLikeClass), 202U);
-  wait_for([&] { return endpoint.got.size() == 3; }, "the third call");
-  EXPECT_EQ(hand_in("m1", kNonIdempotentClass), 202U);  // completed by now, and its id is still known
-  ::kill(child, SIGTERM);
-  EXPECT_EQ(wait_exit(), 0);
-  EXPECT_EQ(endpoint.got.size(), 3U);
-  EXPECT_EQ(finals, "");
-  EXPECT_NE(logged().find("stopped: 0 messages left"), std::string::npos);
+  wait_for([&] { return client->responses.size() == 2; }, "the response on the connection opened before");
+  EXPECT_EQ(client->responses[1].result_int(), 202U);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);  // the successor knows its id, too
+  wait_for([&] { return endpoint.received.size() == 2; }, "the second call");
+  EXPECT_EQ(endpoint.received[1].request["X-Request-Id"], "m2");
+  EXPECT_FALSE(endpoint.received[0].session->closed);
+  for (const auto& got : std::vector<ReceivedRequest>(endpoint.received)) got.session->respond(200);
+  endpoint.on_request(respond_ok);
+  EXPECT_EQ(submit("m3", kReadLikeClass), 202U);
+  wait_for([&] { return endpoint.received.size() == 3; }, "the third call");
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);  // completed by now, and its id is still known
+  ::kill(relay_pid, SIGTERM);
+  EXPECT_EQ(wait_for_exit(), 0);
+  EXPECT_EQ(endpoint.received.size(), 3U);
+  EXPECT_EQ(final_notices, "");
+  EXPECT_NE(log_text().find("stopped: 0 messages left"), std::string::npos);
 }
 
 // The predecessor has read a part of a response; the successor reads the rest of it.
 TEST_F(HandoverTest, SuccessorReadsTheRestOfAPartialResponse) {
-  workers = 1;
-  endpoint.on_request([](const Got& received) { received.session->write("HTTP/1.1 2"); });
+  max_calls_in_flight = 1;
+  endpoint.on_request([](const ReceivedRequest& received) { received.session->write("HTTP/1.1 2"); });
   start();
-  EXPECT_EQ(hand_in("m1", kNonIdempotentClass), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   start_successor();
   wait_for_predecessor_exit();
-  endpoint.got[0].session->write("00 OK\r\nContent-Length: 0\r\n\r\n");
-  EXPECT_EQ(hand_in("m2", kNonIdempotentClass), 202U);
-  wait_for([&] { return endpoint.got.size() == 2; }, "the slot of the first call is free");
-  EXPECT_EQ(finals, "");
+  endpoint.received[0].session->write("00 OK\r\nContent-Length: 0\r\n\r\n");
+  EXPECT_EQ(submit("m2", kNonIdempotentClass), 202U);
+  wait_for([&] { return endpoint.received.size() == 2; }, "the slot of the first call is free");
+  EXPECT_EQ(final_notices, "");
 }
 
 // A call that the predecessor sent occupies a slot in the successor, too, until it ends.
 TEST_F(HandoverTest, InheritedCallOccupiesItsSlot) {
-  workers = 1;
-  endpoint.on_request(stay_silent);
+  max_calls_in_flight = 1;
+  endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(hand_in("m1", kNonIdempotentClass, "x", "24000m"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
+  EXPECT_EQ(submit("m1", kNonIdempotentClass, "x", "24000m"), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   start_successor();
   wait_for_predecessor_exit();
-  EXPECT_EQ(hand_in("m2", kNonIdempotentClass, "x", "24000m"), 202U);
-  EXPECT_EQ(hand_in("m3", kNonIdempotentClass, "x", "24000m"), 202U);
-  EXPECT_EQ(endpoint.got.size(), 1U);
-  endpoint.got[0].session->answer(200);
-  wait_for([&] { return endpoint.got.size() == 2; }, "the next call once the first has ended");
+  EXPECT_EQ(submit("m2", kNonIdempotentClass, "x", "24000m"), 202U);
+  EXPECT_EQ(submit("m3", kNonIdempotentClass, "x", "24000m"), 202U);
+  EXPECT_EQ(endpoint.received.size(), 1U);
+  endpoint.received[0].session->respond(200);
+  wait_for([&] { return endpoint.received.size() == 2; }, "the next call once the first has ended");
 }
 
 TEST_F(HandoverTest, SuccessorHonorsARetryAfterSentToThePredecessor) {
   std::chrono::steady_clock::time_point rejected_at;
-  endpoint.on_request([&](const Got& received) {
+  endpoint.on_request([&](const ReceivedRequest& received) {
     rejected_at = std::chrono::steady_clock::now();
-    received.session->answer(429, "X-Come-Back-Ms: 1500\r\n");
+    received.session->respond(429, "X-Come-Back-Ms: 1500\r\n");
   });
   start();
-  EXPECT_EQ(hand_in("m1", kNonIdempotentClass, "x", "24000m"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call that is rejected");
+  EXPECT_EQ(submit("m1", kNonIdempotentClass, "x", "24000m"), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call that is rejected");
   const auto earliest_retry = rejected_at + std::chrono::milliseconds(1500);
-  endpoint.on_request(answer_ok);
-  EXPECT_EQ(hand_in("m2", kNonIdempotentClass, "x", "24000m"), 202U);
+  endpoint.on_request(respond_ok);
+  EXPECT_EQ(submit("m2", kNonIdempotentClass, "x", "24000m"), 202U);
   start_successor();
   wait_for_predecessor_exit();
-  EXPECT_EQ(hand_in("m3", kNonIdempotentClass, "x", "24000m"), 202U);
-  wait_for([&] { return endpoint.got.size() == 2; }, "the next call");
+  EXPECT_EQ(submit("m3", kNonIdempotentClass, "x", "24000m"), 202U);
+  wait_for([&] { return endpoint.received.size() == 2; }, "the next call");
   EXPECT_GE(std::chrono::steady_clock::now(), earliest_retry);
 }
 
 // The requesting process disconnects at each step of the protocol: the owner keeps serving, and no message is
 // lost or sent twice.
 TEST_F(HandoverTest, OwnerKeepsServingWhenTheRequesterDisconnects) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
   const auto client = connect();
   client->write(request("m0", kNonIdempotentClass, "x", "24000m"));
-  wait_for([&] { return endpoint.got.size() == 1; }, "a call is in flight");
+  wait_for([&] { return endpoint.received.size() == 1; }, "a call is in flight");
   for (int step = 0; step < 4; step++) {
     {
       HandoverChannel channel = request_handover();
@@ -283,14 +284,14 @@
     }
     client->write(request("m" + std::to_string(step + 1), kNonIdempotentClass, "x", "24000m"));
     const auto expected_responses = static_cast<std::size_t>(step) + 2;
-    wait_for([&] { return client->answers.size() == expected_responses; }, "the response of the owner");
-    EXPECT_EQ(client->answers.back().result_int(), 202U);
+    wait_for([&] { return client->responses.size() == expected_responses; }, "the response of the owner");
+    EXPECT_EQ(client->responses.back().result_int(), 202U);
   }
-  for (const auto& got : std::vector<Got>(endpoint.got)) got.session->answer(200);
-  endpoint.on_request(answer_ok);
-  wait_for([&] { return endpoint.got.size() == 5; }, "one call for each message");
-  EXPECT_EQ(health(), 200U);
-  EXPECT_EQ(finals, "");
+  for (const auto& got : std::vector<ReceivedRequest>(endpoint.received)) got.session->respond(200);
+  endpoint.on_request(respond_ok);
+  wait_for([&] { return endpoint.received.size() == 5; }, "one call for each message");
+  EXPECT_EQ(health_status(), 200U);
+  EXPECT_EQ(final_notices, "");
 }
 
 // The owner dies at each step of the protocol: the requesting process takes ownership of the folder and
@@ -306,7 +307,7 @@
     {
       FileDescriptor lock(::open((folder + "/state/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
       ASSERT_EQ(::flock(lock.get(), LOCK_EX | LOCK_NB), 0);
-      members = member("s-1", endpoint.address());
+      endpoint_entries = endpoint_entry("s-1", endpoint.address());
       spawn(config());
       HandoverChannel channel(FileDescriptor(::accept(listening.get(), nullptr, nullptr)));
       EXPECT_TRUE(channel.receive_exactly(kGreeting));
@@ -321,34 +322,34 @@
       }
       listening = FileDescriptor();
     }
-    wait_for([&] { return health() == 200; }, "the relay is ready");
-    EXPECT_EQ(hand_in("m" + std::to_string(step), kReadLikeClass), 202U);
-    wait_for([&] { return endpoint.got.size() == static_cast<std::size_t>(step) + 1; }, "the call");
+    wait_for([&] { return health_status() == 200; }, "the relay is ready");
+    EXPECT_EQ(submit("m" + std::to_string(step), kReadLikeClass), 202U);
+    wait_for([&] { return endpoint.received.size() == static_cast<std::size_t>(step) + 1; }, "the call");
     // SIGTERM, not SIGKILL: a process killed here may not have read the response, and the next process would
     // repeat the call.
-    ::kill(child, SIGTERM);
-    EXPECT_EQ(wait_exit(), 0);
+    ::kill(relay_pid, SIGTERM);
+    EXPECT_EQ(wait_for_exit(), 0);
   }
 }
 
 // A stopped process hands nothing over. Once it has exited, the next process recovers its messages; a call
 // that was in flight may have been executed, so a non-idempotent message is not sent again.
 TEST_F(HandoverTest, SuccessorWaitsUntilAStoppedOwnerExits) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(hand_in("m1", kNonIdempotentClass), 202U);
-  EXPECT_EQ(hand_in("m2", kReadLikeClass), 202U);
-  wait_for([&] { return endpoint.got.size() == 2; }, "both calls");
-  ::kill(child, SIGSTOP);
+  EXPECT_EQ(submit("m1", kNonIdempotentClass), 202U);
+  EXPECT_EQ(submit("m2", kReadLikeClass), 202U);
+  wait_for([&] { return endpoint.received.size() == 2; }, "both calls");
+  ::kill(relay_pid, SIGSTOP);
   start_successor();
   ::kill(predecessor, SIGKILL);
   wait_for([&] { return ::waitpid(predecessor, nullptr, WNOHANG) == predecessor; }, "the predecessor exits");
   predecessor = -1;
-  wait_for([&] { return health() == 200; }, "the successor is ready");
-  wait_for([&] { return endpoint.got.size() == 3 && !finals.empty(); },
+  wait_for([&] { return health_status() == 200; }, "the successor is ready");
+  wait_for([&] { return endpoint.received.size() == 3 && !final_notices.empty(); },
            "the recovered messages are processed");
-  EXPECT_EQ(endpoint.got[2].request["X-Request-Id"], "m2");
-  EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
+  EXPECT_EQ(endpoint.received[2].request["X-Request-Id"], "m2");
+  EXPECT_EQ(final_notices, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
 }
 
 // Clients submit messages during four consecutive upgrades: each message is delivered once.
@@ -359,20 +360,19 @@
     start_successor();
     while (predecessor > 0) {
       submitted++;
-      EXPECT_EQ(
-          hand_in("m" + std::to_string(submitted), submitted % 2 ? kReadLikeClass : kNonIdempotentClass),
-          202U);
+      EXPECT_EQ(submit("m" + std::to_string(submitted), submitted % 2 ? kReadLikeClass : kNonIdempotentClass),
+                202U);
       if (::waitpid(predecessor, nullptr, WNOHANG) == predecessor) predecessor = -1;
     }
   }
-  wait_for([&] { return endpoint.got.size() >= submitted; }, "every call");
-  ::kill(child, SIGTERM);
-  EXPECT_EQ(wait_exit(), 0);
+  wait_for([&] { return endpoint.received.size() >= submitted; }, "every call");
+  ::kill(relay_pid, SIGTERM);
+  EXPECT_EQ(wait_for_exit(), 0);
   std::set<std::string> ids;
-  for (const auto& got : endpoint.got) ids.insert(std::string(got.request["X-Request-Id"]));
+  for (const auto& got : endpoint.received) ids.insert(std::string(got.request["X-Request-Id"]));
   for (std::size_t i = 1; i <= submitted; i++) EXPECT_EQ(ids.count("m" + std::to_string(i)), 1U) << "m" << i;
-  EXPECT_EQ(endpoint.got.size(), submitted);
-  EXPECT_EQ(finals, "");
+  EXPECT_EQ(endpoint.received.size(), submitted);
+  EXPECT_EQ(final_notices, "");
 }
 
 }  // namespace
--- a/tests/operator_server_test.cpp
+++ b/tests/operator_server_test.cpp
@@ -22,9 +22,9 @@
 class OperatorServerTest : public RelayTest {
  protected:
   OperatorServerTest() {
-    tcp::acceptor probe(io, {net::ip::make_address(own_address()), 0});
+    tcp::acceptor probe(io, {net::ip::make_address(loopback_address()), 0});
     operator_port = probe.local_endpoint().port();
-    more = R"(,"operator":")" + own_address() + ":" + std::to_string(operator_port) + R"(")";
+    extra_config = R"(,"operator":")" + loopback_address() + ":" + std::to_string(operator_port) + R"(")";
   }
   // A connection of an operator, and what the relay has sent on it.
   struct OperatorConnection {
@@ -36,7 +36,7 @@
   std::shared_ptr<OperatorConnection> open_connection(const std::string& bytes, bool end_sending = false) {
     const auto connection = std::make_shared<OperatorConnection>(io);
     error_code error;
-    connection->socket.connect({net::ip::make_address(own_address()), operator_port}, error);
+    connection->socket.connect({net::ip::make_address(loopback_address()), operator_port}, error);
     if (!error) net::write(connection->socket, net::buffer(bytes), error);
     if (end_sending) connection->socket.shutdown(tcp::socket::shutdown_send, error);
     net::async_read(connection->socket, net::dynamic_buffer(connection->reply),
@@ -102,9 +102,9 @@
 }
 
 TEST_F(OperatorServerTest, TheRelayRunsWithoutAnOperatorAddress) {
-  more.clear();
+  extra_config.clear();
   start();
-  EXPECT_EQ(hand_in("m1", kReadLikeClass), 202U);
+  EXPECT_EQ(submit("m1", kReadLikeClass), 202U);
 }
 
 TEST_F(OperatorServerTest, MetricsStartAtZeroAndCountEachOutcomeOnce) {
@@ -116,13 +116,13 @@
           << name;
   EXPECT_TRUE(initial_metrics.ends_with("\nEND\n"));
   EXPECT_TRUE(has_metric("discovered=1"));
-  EXPECT_EQ(hand_in("m1", kReadLikeClass), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call");
+  EXPECT_EQ(submit("m1", kReadLikeClass), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call");
   wait_for([&] { return has_metric("outstanding=0"); }, "the end of the message");
   EXPECT_TRUE(has_metric(std::string("succeeded.") + kReadLikeClass + "=1"));
   EXPECT_TRUE(has_metric("forwards=1"));
-  endpoint.on_request([](const Got& received) { received.session->close(); });
-  EXPECT_EQ(hand_in("m2", kNonIdempotentClass), 202U);
+  endpoint.on_request([](const ReceivedRequest& received) { received.session->close(); });
+  EXPECT_EQ(submit("m2", kNonIdempotentClass), 202U);
   wait_for([&] { return has_metric(std::string("aborted.") + kNonIdempotentClass + "=1"); },
            "the failure is counted");
   EXPECT_TRUE(has_metric("forwards=2"));
@@ -130,11 +130,11 @@
 }
 
 TEST_F(OperatorServerTest, MessagesRejectedOnArrivalCountAsDeclined) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
   int rejected = 0;
   for (int i = 0; i < 60; i++)
-    rejected += hand_in("m" + std::to_string(i), kNonIdempotentClass, "x", "24000m") == 503;
+    rejected += submit("m" + std::to_string(i), kNonIdempotentClass, "x", "24000m") == 503;
   wait_for(
       [&] {
         return has_metric(std::string("declined.") + kNonIdempotentClass + "=" + std::to_string(rejected));
@@ -146,8 +146,8 @@
 // A suspended endpoint receives no calls, whatever discovery says of it and across a restart of the process,
 // until an operator restores it.
 TEST_F(OperatorServerTest, ASuspendedEndpointReceivesNoCallsUntilRestored) {
-  Server other(io, answer_ok);
-  members = member("s-1", endpoint.address()) + "," + member("s-2", other.address());
+  FakeServer other(io, respond_ok);
+  endpoint_entries = endpoint_entry("s-1", endpoint.address()) + "," + endpoint_entry("s-2", other.address());
   start();
   EXPECT_TRUE(is_ok(run_command("SUSPEND s-1\n")));
   EXPECT_TRUE(is_ok(run_command("SUSPEND s-1\n")));
@@ -155,24 +155,24 @@
   std::size_t submitted = 0;
   const auto submit_and_wait = [&] {
     for (int i = 0; i < 12; i++, submitted++)
-      EXPECT_EQ(hand_in("m" + std::to_string(submitted), kReadLikeClass), 202U);
-    wait_for([&] { return other.got.size() + endpoint.got.size() == submitted; }, "the calls");
+      EXPECT_EQ(submit("m" + std::to_string(submitted), kReadLikeClass), 202U);
+    wait_for([&] { return other.received.size() + endpoint.received.size() == submitted; }, "the calls");
   };
   submit_and_wait();
-  tell(list(member("s-1", endpoint.address(), "draining"), false));
-  tell(list(members));
+  send_watch_line(endpoint_list(endpoint_entry("s-1", endpoint.address(), "draining"), false));
+  send_watch_line(endpoint_list(endpoint_entries));
   submit_and_wait();
   kill_relay();
   start();
   EXPECT_TRUE(has_metric("ejected=1"));
   submit_and_wait();
-  EXPECT_EQ(endpoint.got.size(), 0U);
+  EXPECT_EQ(endpoint.received.size(), 0U);
   EXPECT_TRUE(is_ok(run_command("RESTORE s-1\n")));
   EXPECT_TRUE(is_ok(run_command("RESTORE s-1\n")));
   EXPECT_TRUE(has_metric("ejected=0"));
   EXPECT_TRUE(is_ok(run_command("SUSPEND s-2\n")));
-  EXPECT_EQ(hand_in("last", kReadLikeClass), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the call to the restored endpoint");
+  EXPECT_EQ(submit("last", kReadLikeClass), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the call to the restored endpoint");
   kill_relay();
   start();
   EXPECT_TRUE(has_metric("ejected=1"));
@@ -181,48 +181,48 @@
 // A message whose call failed waits for its retry when its endpoint is suspended: the retry goes to another
 // one.
 TEST_F(OperatorServerTest, APendingRetryDoesNotGoToASuspendedEndpoint) {
-  endpoint.on_request([](const Got& received) { received.session->answer(503); });
+  endpoint.on_request([](const ReceivedRequest& received) { received.session->respond(503); });
   start();
-  EXPECT_EQ(hand_in("m1", kNonIdempotentClass, "x", "24000m"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the first call");
+  EXPECT_EQ(submit("m1", kNonIdempotentClass, "x", "24000m"), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "the first call");
   EXPECT_TRUE(is_ok(run_command("SUSPEND s-1\n")));
-  const auto calls_before = endpoint.got.size();
-  Server other(io, answer_ok);
-  tell(list(member("s-2", other.address()), false));
-  wait_for([&] { return !other.got.empty(); }, "the retry to the other endpoint");
-  EXPECT_EQ(endpoint.got.size(), calls_before);
+  const auto calls_before = endpoint.received.size();
+  FakeServer other(io, respond_ok);
+  send_watch_line(endpoint_list(endpoint_entry("s-2", other.address()), false));
+  wait_for([&] { return !other.received.empty(); }, "the retry to the other endpoint");
+  EXPECT_EQ(endpoint.received.size(), calls_before);
 }
 
 TEST_F(OperatorServerTest, PauseClosesClientConnectionsUntilResume) {
-  endpoint.on_request(stay_silent);
+  endpoint.on_request(leave_unanswered);
   start();
   const auto idle = connect();
   idle->write(request("m1", kReadLikeClass));
-  wait_for([&] { return idle->answers.size() == 1; }, "the response");
+  wait_for([&] { return idle->responses.size() == 1; }, "the response");
   const auto unfinished = connect();
   const std::string whole = request("m2", kReadLikeClass);
   unfinished->write(whole.substr(0, 40));
-  EXPECT_EQ(hand_in("m3", kReadLikeClass), 202U);  // the relay has read the first part of m2 by now
+  EXPECT_EQ(submit("m3", kReadLikeClass), 202U);  // the relay has read the first part of m2 by now
   EXPECT_TRUE(is_ok(run_command("PAUSE\n")));
   EXPECT_TRUE(is_ok(run_command("PAUSE\n")));
-  wait_for([&] { return idle->ended; }, "the idle connection closes");
-  EXPECT_EQ(health(), 503U);
+  wait_for([&] { return idle->closed; }, "the idle connection closes");
+  EXPECT_EQ(health_status(), 503U);
   EXPECT_TRUE(is_error(run_command("STATUS\n")));
   unfinished->write(whole.substr(40));
-  wait_for([&] { return unfinished->ended; }, "the unfinished connection closes after its response");
-  ASSERT_EQ(unfinished->answers.size(), 1U);
-  EXPECT_EQ(unfinished->answers[0].result_int(), 202U);
-  EXPECT_EQ(hand_in("m4", kReadLikeClass), 202U);  // a new connection is still served
-  wait_for([&] { return endpoint.got.size() == 4; }, "calls for the accepted messages");
+  wait_for([&] { return unfinished->closed; }, "the unfinished connection closes after its response");
+  ASSERT_EQ(unfinished->responses.size(), 1U);
+  EXPECT_EQ(unfinished->responses[0].result_int(), 202U);
+  EXPECT_EQ(submit("m4", kReadLikeClass), 202U);  // a new connection is still served
+  wait_for([&] { return endpoint.received.size() == 4; }, "calls for the accepted messages");
   EXPECT_TRUE(is_ok(run_command("RESUME\n")));
   EXPECT_TRUE(is_ok(run_command("RESUME\n")));
-  EXPECT_EQ(health(), 200U);
+  EXPECT_EQ(health_status(), 200U);
   EXPECT_TRUE(is_ok(run_command("STATUS\n")));
   const auto reused = connect();
   reused->write(request("m5", kReadLikeClass));
-  wait_for([&] { return reused->answers.size() == 1; }, "the response");
+  wait_for([&] { return reused->responses.size() == 1; }, "the response");
   reused->write(request("m6", kReadLikeClass));
-  wait_for([&] { return reused->answers.size() == 2; }, "the response on the same connection");
+  wait_for([&] { return reused->responses.size() == 2; }, "the response on the same connection");
 }
 
 }  // namespace
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -43,11 +43,11 @@
 }
 const std::string kChunkedResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-tcp::endpoint address_of(const Server& server) { return read_address(server.address(), "test"); }
+tcp::endpoint address_of(const FakeServer& server) { return read_address(server.address(), "test"); }
 
 class PlatformTest : public ::testing::Test {
  protected:
-  PlatformTest() : agent(io, [this](const Got& received) { requests.push_back(received); }) {}
+  PlatformTest() : agent(io, [this](const ReceivedRequest& received) { requests.push_back(received); }) {}
   void start_watch(std::chrono::microseconds list_response, std::chrono::microseconds watch_silence,
                    std::chrono::microseconds notice_response = kLongTimeout) {
     platform.emplace(
@@ -59,7 +59,7 @@
   }
   template <class Condition>
   void wait_for(Condition condition, const char* what) {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kConditionTimeout;
     while (!condition()) {
       ASSERT_LT(std::chrono::steady_clock::now(), until) << "timed out waiting for " << what;
       io.restart();
@@ -75,8 +75,8 @@
   }
 
   net::io_context io;
-  Server agent;
-  std::vector<Got> requests;  // that the agent received
+  FakeServer agent;
+  std::vector<ReceivedRequest> requests;  // that the agent received
   configuration::SettingNames names;
   std::vector<EndpointList> lists;
   std::vector<SubscriptionLossReason> losses;
@@ -117,7 +117,7 @@
 
 // Discovery has been relocated while a list from the former address lies unread in the socket: it is dropped.
 TEST_F(PlatformTest, AListFromTheFormerAddressIsDropped) {
-  Server new_agent(io, [this](const Got& received) { requests.push_back(received); });
+  FakeServer new_agent(io, [this](const ReceivedRequest& received) { requests.push_back(received); });
   start_watch(kLongTimeout, kLongTimeout);
   wait_for([&] { return requests.size() == 1; }, "the watch");
   requests[0].session->write(kChunkedResponseHead + chunk(indented_list(42)));
@@ -135,7 +135,7 @@
 // the list is as stale as after a watch that received no data, so the loss is reported as a time-out: the
 // next query must not wait for the backoff that follows a watch that has just failed.
 TEST_F(PlatformTest, ASnapshotThatFailsAfterARelocationIsReportedAsTimedOut) {
-  Server new_agent(io, [this](const Got& received) { requests.push_back(received); });
+  FakeServer new_agent(io, [this](const ReceivedRequest& received) { requests.push_back(received); });
   start_watch(kLongTimeout, kLongTimeout);
   platform->relocate(address_of(new_agent));
   platform->watch();
@@ -157,14 +157,14 @@
   for (int attempt = 0; attempt < 20 && !in_time; attempt++) {
     requests.clear();
     losses.clear();
-    agent.on_request([&](const Got& received) {
+    agent.on_request([&](const ReceivedRequest& received) {
       if (received.request.method() == http::verb::post) requests.push_back(received);
     });
     // Nothing answers the watch, so its timeout shows how much time has passed.
     start_watch(std::chrono::milliseconds(800), kLongTimeout, kShortTimeout);
     platform->send_final_notice(1, "m1", {});
     wait_for([&] { return requests.size() == 1; }, "the first notice");
-    requests[0].session->answer(204);
+    requests[0].session->respond(204);
     wait_for([&] { return !platform->has_pending_notices(); }, "the response to it");
     platform->send_final_notice(2, "m2", {});
     wait_for([&] { return requests.size() == 2; }, "the second notice");
@@ -181,18 +181,18 @@
 class CachedListTest : public RelayTest {
  protected:
   CachedListTest() {
-    list_mode = "automatic";
-    relays = 300;
+    discovery_mode = "automatic";
+    relay_count = 300;
   }
   // Runs a process that accepts m1 while its only endpoint is draining, and kills it before any attempt.
   void leave_message_unattempted() {
-    members = member("s-1", endpoint.address(), "draining");
+    endpoint_entries = endpoint_entry("s-1", endpoint.address(), "draining");
     spawn(config());
-    wait_for([&] { return logged().find("draining or removed: s-1") != std::string::npos; },
+    wait_for([&] { return log_text().find("draining or removed: s-1") != std::string::npos; },
              "the endpoint list");
-    EXPECT_EQ(hand_in("m1", "load-status"), 202U);
+    EXPECT_EQ(submit("m1", "load-status"), 202U);
     kill_relay();
-    members = member("s-1", endpoint.address());
+    endpoint_entries = endpoint_entry("s-1", endpoint.address());
   }
 };
 
@@ -200,82 +200,84 @@
 // recovers wait for the agent's list, provided that it arrives within the hold time. On a machine too slow
 // for that the log says that the cached list is in use, and the run is repeated, up to 50 times.
 TEST_F(CachedListTest, RecoveredMessagesWaitForTheAgentsList) {
-  Server other(io, answer_ok);
+  FakeServer other(io, respond_ok);
   for (int attempt = 0; attempt < 50; attempt++) {
     std::filesystem::remove_all(folder + "/state");
     std::filesystem::create_directories(folder + "/state");
-    platform.on_request([this](const Got& received) { on_platform(received); });
+    platform.on_request([this](const ReceivedRequest& received) { handle_platform_request(received); });
     leave_message_unattempted();
     std::filesystem::remove(folder + "/log");
-    platform.on_request([&](const Got& received) {
-      received.session->write(
-          kChunkedResponseHead +
-          chunk(list(member("s-1", endpoint.address(), "draining") + "," + member("s-2", other.address()))));
+    platform.on_request([&](const ReceivedRequest& received) {
+      received.session->write(kChunkedResponseHead +
+                              chunk(endpoint_list(endpoint_entry("s-1", endpoint.address(), "draining") +
+                                                  "," + endpoint_entry("s-2", other.address()))));
     });
-    other.got.clear();
+    other.received.clear();
     spawn(config());  // its cached list says that s-1 is ready
-    wait_for([&] { return !other.got.empty() || !endpoint.got.empty(); }, "a call");
-    if (logged().find("endpoint_list_cached_in_use") == std::string::npos) break;
+    wait_for([&] { return !other.received.empty() || !endpoint.received.empty(); }, "a call");
+    if (log_text().find("endpoint_list_cached_in_use") == std::string::npos) break;
     kill_relay();
   }
-  EXPECT_EQ(logged().find("endpoint_list_cached_in_use"), std::string::npos);
-  EXPECT_TRUE(endpoint.got.empty()) << "the message was sent to a draining endpoint";
-  ASSERT_FALSE(other.got.empty());
-  EXPECT_EQ(other.got[0].request["X-Request-Id"], "m1");
+  EXPECT_EQ(log_text().find("endpoint_list_cached_in_use"), std::string::npos);
+  EXPECT_TRUE(endpoint.received.empty()) << "the message was sent to a draining endpoint";
+  ASSERT_FALSE(other.received.empty());
+  EXPECT_EQ(other.received[0].request["X-Request-Id"], "m1");
 }
 
 // While discovery is down, the agent does not respond: the cached list is used.
 TEST_F(CachedListTest, IsUsedWhileTheAgentDoesNotRespond) {
-  platform.on_request(stay_silent);
+  platform.on_request(leave_unanswered);
   start();
-  EXPECT_EQ(hand_in("m1", "load-status"), 202U);
-  wait_for([&] { return !endpoint.got.empty(); }, "the call");
-  EXPECT_NE(logged().find("endpoint_list_cached_in_use"), std::string::npos);
-  wait_for([&] { return platform.got.size() >= 3; }, "further queries to the agent");
+  EXPECT_EQ(submit("m1", "load-status"), 202U);
+  wait_for([&] { return !endpoint.received.empty(); }, "the call");
+  EXPECT_NE(log_text().find("endpoint_list_cached_in_use"), std::string::npos);
+  wait_for([&] { return platform.received.size() >= 3; }, "further queries to the agent");
 }
 
 // The configuration changes the address of discovery while the first watch has no response yet: a watch at
 // the new address starts immediately, and a list from the former address is dropped.
 TEST_F(CachedListTest, ARelocationDuringTheFirstWatchIsFollowed) {
-  Server other(io, answer_ok);
-  Server new_agent(io, [&](const Got& received) {
-    received.session->write(kChunkedResponseHead + chunk(list(member("s-2", other.address()))));
+  FakeServer other(io, respond_ok);
+  FakeServer new_agent(io, [&](const ReceivedRequest& received) {
+    received.session->write(kChunkedResponseHead +
+                            chunk(endpoint_list(endpoint_entry("s-2", other.address()))));
   });
-  platform.on_request(stay_silent);
+  platform.on_request(leave_unanswered);
   start();
-  wait_for([&] { return !platform.got.empty(); }, "the first watch");
-  const auto former_watch = platform.got[0].session;
+  wait_for([&] { return !platform.received.empty(); }, "the first watch");
+  const auto former_watch = platform.received[0].session;
   reload(config(new_agent.address()));
-  wait_for([&] { return logged().find("snapshot, 1 endpoints") != std::string::npos; },
+  wait_for([&] { return log_text().find("snapshot, 1 endpoints") != std::string::npos; },
            "the list of the new address");
-  former_watch->write(kChunkedResponseHead + chunk(list(member("s-1", endpoint.address()))));
-  EXPECT_EQ(hand_in("m1", "load-status"), 202U);
-  wait_for([&] { return !other.got.empty() || !endpoint.got.empty(); }, "the call");
-  EXPECT_TRUE(endpoint.got.empty()) << "the list of the new address does not contain s-1";
+  former_watch->write(kChunkedResponseHead + chunk(endpoint_list(endpoint_entry("s-1", endpoint.address()))));
+  EXPECT_EQ(submit("m1", "load-status"), 202U);
+  wait_for([&] { return !other.received.empty() || !endpoint.received.empty(); }, "the call");
+  EXPECT_TRUE(endpoint.received.empty()) << "the list of the new address does not contain s-1";
 }
 
 // During an outage the agent accepts connections and does not respond. The list that it has afterwards
 // applies immediately, so it must be queried soon.
 TEST_F(CachedListTest, TheAgentsListIsQueriedSoonAfterAnOutage) {
-  Server other(io, answer_ok);
+  FakeServer other(io, respond_ok);
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
-  platform.on_request(stay_silent);
-  const auto requests_before = platform.got.size();
+  platform.on_request(leave_unanswered);
+  const auto requests_before = platform.received.size();
   watches[0]->close();
-  wait_for([&] { return platform.got.size() >= requests_before + 3; },
+  wait_for([&] { return platform.received.size() >= requests_before + 3; },
            "queries for the list during the outage");
-  EXPECT_EQ(hand_in("m1", "load-status"), 202U);
-  wait_for([&] { return endpoint.got.size() == 1; }, "a call by the last known list");
-  platform.on_request([&](const Got& received) {
-    received.session->write(kChunkedResponseHead + chunk(list(member("s-1", endpoint.address(), "draining") +
-                                                              "," + member("s-2", other.address()))));
+  EXPECT_EQ(submit("m1", "load-status"), 202U);
+  wait_for([&] { return endpoint.received.size() == 1; }, "a call by the last known list");
+  platform.on_request([&](const ReceivedRequest& received) {
+    received.session->write(kChunkedResponseHead +
+                            chunk(endpoint_list(endpoint_entry("s-1", endpoint.address(), "draining") + "," +
+                                                endpoint_entry("s-2", other.address()))));
   });
-  wait_for([&] { return logged().find("draining or removed: s-1") != std::string::npos; },
+  wait_for([&] { return log_text().find("draining or removed: s-1") != std::string::npos; },
            "the list after the outage");
-  EXPECT_EQ(hand_in("m2", "load-status"), 202U);
-  wait_for([&] { return !other.got.empty(); }, "the call to the other endpoint");
-  EXPECT_EQ(endpoint.got.size(), 1U);
+  EXPECT_EQ(submit("m2", "load-status"), 202U);
+  wait_for([&] { return !other.received.empty(); }, "the call to the other endpoint");
+  EXPECT_EQ(endpoint.received.size(), 1U);
 }
 
 }  // namespace
