--- a/scale/fleet.cpp
+++ b/scale/fleet.cpp
@@ -92,7 +92,7 @@
   Time network_delay(RelayIndex relay, EndpointIndex endpoint) const;
   Time end_of_arrivals() const { return to_microseconds(settings_.duration); }
 
-  const std::int64_t allocated_before_ = allocated().bytes;
+  const std::int64_t allocated_before_ = allocated_memory().bytes;
   const FleetSettings settings_;
   const std::function<void(double)>& progress_;
   RandomSource random_;
@@ -185,7 +185,7 @@
   }
   FleetResult result = statistics_.result(destinations_, has_restart_);
   result.endpoints = static_cast<std::int64_t>(endpoints_.size());
-  result.bytes_per_relay = (allocated().bytes - allocated_before_) / settings_.relay_count;
+  result.bytes_per_relay = (allocated_memory().bytes - allocated_before_) / settings_.relay_count;
   result.cpu_seconds_per_relay = (thread_cpu_time() - cpu_time_before) / kMicrosecondsPerSecond /
                                  settings_.relay_count / to_seconds(now_);
   return result;
--- a/scale/fleet_command.cpp
+++ b/scale/fleet_command.cpp
@@ -98,7 +98,7 @@
   for (int i = 1; i < jobs; i++) threads.emplace_back([this] { work(); });
   work();
   for (auto& thread : threads) thread.join();
-  progress("");
+  show_progress("");
   if (error_) std::rethrow_exception(error_);
 }
 
@@ -130,7 +130,7 @@
                            std::to_string(settings.seed) + ": ";
   return run_fleet(settings, [&](double second) {
     const std::lock_guard lock(mutex_);
-    progress(name + std::to_string(static_cast<int>(second)) + " s");
+    show_progress(name + std::to_string(static_cast<int>(second)) + " s");
   });
 }
 
--- a/scale/journal_slopes.cpp
+++ b/scale/journal_slopes.cpp
@@ -59,7 +59,7 @@
 
   MessageId message_count_;
   std::int64_t body_bytes_;
-  ScratchFolder folder_;
+  TemporaryDirectory folder_;
   Costs costs_;
 };
 
@@ -82,12 +82,12 @@
 }
 
 void JournalBench::write_and_compact() {
-  const std::int64_t bytes_before = allocated().bytes;
+  const std::int64_t bytes_before = allocated_memory().bytes;
   Journal journal(folder_.path(), kUnlimitedBytes);
   record_messages(journal);
   const double file_bytes_of_messages = file_bytes();
   add("on disk, bytes", file_bytes_of_messages);
-  add("memory, bytes", static_cast<double>(allocated().bytes - bytes_before));
+  add("memory, bytes", static_cast<double>(allocated_memory().bytes - bytes_before));
   record_attempts(journal);
   add("an attempt on disk, bytes", file_bytes() - file_bytes_of_messages);
   compact(journal);
@@ -131,11 +131,11 @@
 }
 
 void JournalBench::recover() {
-  const std::int64_t bytes_before = allocated().bytes;
-  reset_peak();
+  const std::int64_t bytes_before = allocated_memory().bytes;
+  reset_peak_allocated_bytes();
   std::optional<Journal> journal;
   add("recovered, us", cpu_time_of([&] { journal.emplace(folder_.path(), kUnlimitedBytes); }));
-  add("recovered, most memory, bytes", static_cast<double>(peak_bytes() - bytes_before));
+  add("recovered, most memory, bytes", static_cast<double>(peak_allocated_bytes() - bytes_before));
   if (journal->messages().size() != message_count_)
     throw std::runtime_error("journal: not all was recovered");
   add("over, us", for_each_message(*journal, [&](MessageId id) { journal->record_completed(id); }));
@@ -143,7 +143,7 @@
 
 // Processor time of one commit, the mean of many.
 double commit_time(std::int64_t records, std::int64_t body_bytes) {
-  const ScratchFolder folder;
+  const TemporaryDirectory folder;
   Journal journal(folder.path(), kUnlimitedBytes);
   double cpu_time = 0;
   MessageId next_id = 1;
--- a/scale/least_squares.cpp
+++ b/scale/least_squares.cpp
@@ -2,6 +2,7 @@
 
 #include <cmath>
 #include <stdexcept>
+#include <string>
 
 namespace scale_tool {
 namespace {
@@ -16,37 +17,43 @@
   return mean;
 }
 
-// 0 where a size or a cost is not above 0, or the sizes are the same.
-double exponent_between(const Point& a, const Point& b) {
-  const bool has_exponent = a.size > 0 && b.size > a.size && a.cost > 0 && b.cost > 0;
-  return has_exponent ? std::log(b.cost / a.cost) / std::log(b.size / a.size) : 0;
+// Exponent of the power law through two points. 0 if a size or a cost is not positive, or if the second size
+// is not larger than the first.
+double power_law_exponent(const Point& first, const Point& second) {
+  const bool has_exponent = first.size > 0 && second.size > first.size && first.cost > 0 && second.cost > 0;
+  return has_exponent ? std::log(second.cost / first.cost) / std::log(second.size / first.size) : 0;
 }
 
 }  // namespace
 
-Line least_squares(const std::vector<Point>& points) {
+LinearFit fit_least_squares(const std::vector<Point>& points) {
   const Point mean = mean_of(points);
-  // About the means: sums of squares of large sizes would lose the digits that tell them apart.
-  double size_squares = 0;
-  double size_cost_products = 0;
+  // Sums are taken about the means: with large sizes that are close together, plain sums of squares would
+  // lose the digits in which the sizes differ.
+  double sum_squared_size_deviations = 0;
+  double sum_deviation_products = 0;
   for (const Point& point : points) {
-    size_squares += (point.size - mean.size) * (point.size - mean.size);
-    size_cost_products += (point.size - mean.size) * (point.cost - mean.cost);
+    sum_squared_size_deviations += (point.size - mean.size) * (point.size - mean.size);
+    sum_deviation_products += (point.size - mean.size) * (point.cost - mean.cost);
   }
-  if (!(size_squares > 0)) throw std::invalid_argument("least squares: two different sizes are needed");
-  Line line;
-  line.slope = size_cost_products / size_squares;
-  line.intercept = mean.cost - line.slope * mean.size;
-  double deviation_squares = 0;
+  if (!(sum_squared_size_deviations > 0))
+    throw std::invalid_argument("least squares fit: expected at least two different sizes among " +
+                                std::to_string(points.size()) + " points");
+  LinearFit fit;
+  fit.slope = sum_deviation_products / sum_squared_size_deviations;
+  fit.intercept = mean.cost - fit.slope * mean.size;
+  double sum_squared_cost_deviations = 0;
   for (const Point& point : points) {
-    const double deviation = point.cost - line.at(point.size);
-    deviation_squares += deviation * deviation;
-    if (std::abs(deviation) > kOffLineFraction * std::abs(point.cost)) line.off_line_at.push_back(point.size);
+    const double deviation = point.cost - fit.cost_at(point.size);
+    sum_squared_cost_deviations += deviation * deviation;
+    if (std::abs(deviation) > kOutlierDeviationFraction * std::abs(point.cost))
+      fit.outlier_sizes.push_back(point.size);
   }
   if (mean.cost != 0)
-    line.residual = std::sqrt(deviation_squares / static_cast<double>(points.size())) / std::abs(mean.cost);
-  line.exponent = exponent_between(points[points.size() - 2], points.back());
-  return line;
+    fit.relative_residual =
+        std::sqrt(sum_squared_cost_deviations / static_cast<double>(points.size())) / std::abs(mean.cost);
+  fit.exponent = power_law_exponent(points[points.size() - 2], points.back());
+  return fit;
 }
 
 }  // namespace scale_tool
--- a/scale/least_squares.hpp
+++ b/scale/least_squares.hpp
@@ -1,4 +1,4 @@
-// A straight line through measured costs, and where they leave it.
+// Linear regression of measured costs over sizes, and the sizes that deviate from the fitted line.
 #pragma once
 
 #include <vector>
@@ -10,21 +10,24 @@
   double cost = 0;
 };
 
-// A size is off the line where its cost is further from it than this fraction of the cost.
-constexpr double kOffLineFraction = 0.15;
+// A point is an outlier if its cost deviates from the fitted line by more than this fraction of the cost.
+constexpr double kOutlierDeviationFraction = 0.15;
 
-struct Line {
-  double slope = 0;      // cost of one more
-  double intercept = 0;  // cost of none
-  double residual = 0;   // root of the mean squared deviation, as a fraction of the mean cost
-  double exponent = 0;   // cost ~ size^exponent between the two largest sizes; 0 where one is not above 0
-  std::vector<double> off_line_at;  // sizes
+struct LinearFit {
+  double slope = 0;      // increase of the cost for each unit of size
+  double intercept = 0;  // cost at size 0
+  // Root mean square deviation from the line, as a fraction of the mean cost; 0 if the mean cost is 0.
+  double relative_residual = 0;
+  // Of the power law through the two largest sizes, cost ~ size^exponent; 0 if a size or cost of theirs is
+  // not positive or the two sizes are equal.
+  double exponent = 0;
+  std::vector<double> outlier_sizes;
 
-  [[nodiscard]] double at(double size) const { return intercept + slope * size; }
+  [[nodiscard]] double cost_at(double size) const { return intercept + slope * size; }
 };
 
-// Ordinary least squares; the points are in the order of their sizes. Throws std::invalid_argument where
-// there are fewer than two different sizes.
-[[nodiscard]] Line least_squares(const std::vector<Point>& points);
+// Fits a line by ordinary least squares. The points must be in ascending order of size. Throws
+// std::invalid_argument if there are fewer than two different sizes.
+[[nodiscard]] LinearFit fit_least_squares(const std::vector<Point>& points);
 
 }  // namespace scale_tool
--- a/scale/list_slopes.cpp
+++ b/scale/list_slopes.cpp
@@ -33,11 +33,11 @@
   const double parse_time =
       cpu_time_of([&] { document.Parse<rapidjson::kParseIterativeFlag>(list.data(), list.size()); });
   const auto parser_bytes = static_cast<double>(document.GetAllocator().Capacity());
-  const std::int64_t bytes_before = allocated().bytes;
+  const std::int64_t bytes_before = allocated_memory().bytes;
   message_relay::EndpointList endpoints;
   const double read_time =
       cpu_time_of([&] { endpoints = message_relay::read_endpoint_list(document, "members", names); });
-  const auto endpoint_bytes = static_cast<double>(allocated().bytes - bytes_before);
+  const auto endpoint_bytes = static_cast<double>(allocated_memory().bytes - bytes_before);
   return {{"parsed, us", parse_time},
           {"read, us", read_time},
           {"the parser's memory, bytes", parser_bytes},
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -156,14 +156,14 @@
 }
 
 std::int64_t DispatcherBench::accept_messages(std::int64_t messages, std::int64_t destinations) {
-  const std::int64_t bytes_before = allocated().bytes;
+  const std::int64_t bytes_before = allocated_memory().bytes;
   {
     std::vector<Event> events;
     for (std::int64_t i = 0; i < messages; i++) events.emplace_back(new_message(i % destinations));
     run_round(events);
     actions_ = std::vector<dispatch::Action>();
   }
-  return allocated().bytes - bytes_before;
+  return allocated_memory().bytes - bytes_before;
 }
 
 // Rounds in which health checks fail at once, as they do while destinations are down.
@@ -237,9 +237,9 @@
   add("whole list, first, us",
       median_of(settings.repetitions, [&] { return DispatcherBench().set_list(endpoints); }));
   DispatcherBench bench;
-  const std::int64_t bytes_before = allocated().bytes;
+  const std::int64_t bytes_before = allocated_memory().bytes;
   bench.set_list(endpoints);
-  add("memory, bytes", static_cast<double>(allocated().bytes - bytes_before));
+  add("memory, bytes", static_cast<double>(allocated_memory().bytes - bytes_before));
   add("whole list, again, us", median_of(settings.repetitions, [&] { return bench.set_list(endpoints); }));
   std::size_t changes = 0;
   add("one change, us", median_of(rounds, [&] {
--- a/scale/relay_trial.hpp
+++ b/scale/relay_trial.hpp
@@ -74,7 +74,7 @@
   [[noreturn]] void fail(const std::string& what) const;
 
   const SlopesSettings& settings_;
-  ScratchFolder folder_;
+  TemporaryDirectory folder_;
   RelayPeers peers_;
   std::optional<RelayProcess> relay_;
   double start_cpu_time_ = 0;   // microseconds
--- a/scale/report.cpp
+++ b/scale/report.cpp
@@ -14,13 +14,13 @@
 namespace scale_tool {
 namespace {
 
-constexpr int kTableDigits = 4;
+constexpr int kTablePrecision = 4;  // significant digits
 
 std::string to_text(const Value& value) {
   if (const auto* integer = std::get_if<std::int64_t>(&value)) return std::to_string(*integer);
   if (const auto* text = std::get_if<std::string>(&value)) return *text;
   std::ostringstream out;
-  out << std::setprecision(kTableDigits) << std::get<double>(value);
+  out << std::setprecision(kTablePrecision) << std::get<double>(value);
   return out.str();
 }
 
@@ -41,33 +41,34 @@
   return buffer.GetString();
 }
 
-bool has_same_columns(const Row& a, const Row& b) {
-  return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](const Cell& x, const Cell& y) { return x.column == y.column; });
+bool has_same_columns(const Row& left, const Row& right) {
+  return std::equal(
+      left.begin(), left.end(), right.begin(), right.end(),
+      [](const Cell& left_cell, const Cell& right_cell) { return left_cell.column == right_cell.column; });
 }
 
-using TextLine = std::vector<std::string>;
+using TextRow = std::vector<std::string>;
 
-// The column names, then the values of the rows.
-std::vector<TextLine> text_lines(const Row* first, const Row* last) {
-  std::vector<TextLine> lines(1);
-  for (const Cell& cell : *first) lines.front().push_back(cell.column);
+// A row of column names, followed by the values of each row in [first, last).
+std::vector<TextRow> text_rows(const Row* first, const Row* last) {
+  std::vector<TextRow> text_rows_of_table(1);
+  for (const Cell& cell : *first) text_rows_of_table.front().push_back(cell.column);
   for (const Row* row = first; row != last; row++) {
-    TextLine& line = lines.emplace_back();
-    for (const Cell& cell : *row) line.push_back(to_text(cell.value));
+    TextRow& text_row = text_rows_of_table.emplace_back();
+    for (const Cell& cell : *row) text_row.push_back(to_text(cell.value));
   }
-  return lines;
+  return text_rows_of_table;
 }
 
-// Rows of the same columns.
+// Writes the rows in [first, last), which all have the same columns, aligned to the right.
 void write_table(std::ostream& out, const Row* first, const Row* last) {
-  const std::vector<TextLine> lines = text_lines(first, last);
+  const std::vector<TextRow> table = text_rows(first, last);
   std::vector<std::size_t> widths(first->size());
-  for (const TextLine& line : lines)
-    for (std::size_t i = 0; i < widths.size(); i++) widths[i] = std::max(widths[i], line[i].size());
-  for (const TextLine& line : lines) {
+  for (const TextRow& text_row : table)
+    for (std::size_t i = 0; i < widths.size(); i++) widths[i] = std::max(widths[i], text_row[i].size());
+  for (const TextRow& text_row : table) {
     for (std::size_t i = 0; i < widths.size(); i++)
-      out << (i > 0 ? "  " : "") << std::setw(static_cast<int>(widths[i])) << line[i];
+      out << (i > 0 ? "  " : "") << std::setw(static_cast<int>(widths[i])) << text_row[i];
     out << '\n';
   }
 }
@@ -77,7 +78,7 @@
 Report::Report(const std::string& json_path) {
   if (json_path.empty()) return;
   json_.open(json_path);
-  if (!json_) throw BadInput(json_path + ": can't be written");
+  if (!json_) throw BadInput(json_path + ": cannot open the file for the results for writing");
 }
 
 void Report::add(Row row) {
@@ -98,7 +99,7 @@
   return out.str();
 }
 
-void progress(const std::string& text) {
+void show_progress(const std::string& text) {
   if (::isatty(STDERR_FILENO) == 0) return;
   std::fprintf(stderr, "\r\033[K%s", text.c_str());
   std::fflush(stderr);
--- a/scale/report.hpp
+++ b/scale/report.hpp
@@ -1,4 +1,4 @@
-// Results: rows of named values, as JSON lines in a file and as a table for people.
+// Results of a run as rows of named values, written as JSON lines to a file and as a table for the console.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +17,16 @@
 };
 using Row = std::vector<Cell>;
 
-// Invariant: the file, if there is one, has a line for each row.
+// Collects result rows. Invariant: the JSON file, if there is one, has a line for each row.
 class Report {
  public:
-  // An empty path: no file. Throws BadInput where the file can't be written.
+  // Opens the JSON file for writing; an empty path means no file. Throws BadInput if it can't be opened.
   explicit Report(const std::string& json_path);
 
-  // The row is in the file at once, so that a run that is stopped leaves what it measured.
+  // Adds a row and flushes it to the file at once, so that an interrupted run keeps its results so far.
   void add(Row row);
-  // All rows so far, aligned. A row with other columns than the one before begins a table of its own.
+  // All rows so far as text in aligned columns. A row whose columns differ from those of the previous row
+  // starts a new table.
   [[nodiscard]] std::string table() const;
   [[nodiscard]] const std::vector<Row>& rows() const { return rows_; }
 
@@ -34,7 +35,7 @@
   std::ofstream json_;
 };
 
-// Replaces the progress line on standard error; does nothing where that is not a terminal.
-void progress(const std::string& text);
+// Replaces the progress line on standard error. Does nothing if standard error is not a terminal.
+void show_progress(const std::string& text);
 
 }  // namespace scale_tool
--- a/scale/resource_meters.cpp
+++ b/scale/resource_meters.cpp
@@ -15,14 +15,15 @@
 
 namespace {
 
-// Of each thread by itself: threads that count together would slow one another down.
+// Each thread has its own counters: shared counters would slow the threads down by contention.
 struct AllocationCounters {
   std::int64_t bytes = 0;
   std::int64_t blocks = 0;
   std::int64_t peak_bytes = 0;
 };
-thread_local AllocationCounters counters;
+thread_local AllocationCounters allocation_counters;
 
+// Usable size of a block plus the allocator's word of overhead.
 std::int64_t block_bytes(void* block) {
   return static_cast<std::int64_t>(::malloc_usable_size(block) + sizeof(std::size_t));
 }
@@ -32,33 +33,33 @@
   return block;
 }
 
-void* count(void* block) noexcept {
+void* record_allocation(void* block) noexcept {
   if (block == nullptr) return block;
-  counters.bytes += block_bytes(block);
-  counters.blocks++;
-  counters.peak_bytes = std::max(counters.peak_bytes, counters.bytes);
+  allocation_counters.bytes += block_bytes(block);
+  allocation_counters.blocks++;
+  allocation_counters.peak_bytes = std::max(allocation_counters.peak_bytes, allocation_counters.bytes);
   return block;
 }
 
-void release(void* block) noexcept {
+void deallocate(void* block) noexcept {
   if (block == nullptr) return;
-  counters.bytes -= block_bytes(block);
-  counters.blocks--;
+  allocation_counters.bytes -= block_bytes(block);
+  allocation_counters.blocks--;
   std::free(block);
 }
 
-void* allocate(std::size_t size) noexcept { return count(std::malloc(size)); }
+void* allocate(std::size_t size) noexcept { return record_allocation(std::malloc(size)); }
 
 void* allocate_aligned(std::size_t size, std::align_val_t alignment) noexcept {
-  const auto step = static_cast<std::size_t>(alignment);
-  const std::size_t rounded_size = (size + step - 1) / step * step;
-  return count(std::aligned_alloc(step, rounded_size));
+  const auto alignment_bytes = static_cast<std::size_t>(alignment);
+  const std::size_t rounded_size = (size + alignment_bytes - 1) / alignment_bytes * alignment_bytes;
+  return record_allocation(std::aligned_alloc(alignment_bytes, rounded_size));
 }
 
 }  // namespace
 
-// Every form is replaced, so that no block of another allocator comes to be freed here, nor one of these
-// there.
+// Every form of operator new and delete is replaced, so that a block is always freed by the allocator that
+// allocated it.
 void* operator new(std::size_t size) { return throw_if_null(allocate(size)); }
 void* operator new[](std::size_t size) { return throw_if_null(allocate(size)); }
 void* operator new(std::size_t size, const std::nothrow_t&) noexcept { return allocate(size); }
@@ -69,16 +70,16 @@
 void* operator new[](std::size_t size, std::align_val_t alignment) {
   return throw_if_null(allocate_aligned(size, alignment));
 }
-void operator delete(void* block) noexcept { release(block); }
-void operator delete[](void* block) noexcept { release(block); }
-void operator delete(void* block, std::size_t) noexcept { release(block); }
-void operator delete[](void* block, std::size_t) noexcept { release(block); }
-void operator delete(void* block, const std::nothrow_t&) noexcept { release(block); }
-void operator delete[](void* block, const std::nothrow_t&) noexcept { release(block); }
-void operator delete(void* block, std::align_val_t) noexcept { release(block); }
-void operator delete[](void* block, std::align_val_t) noexcept { release(block); }
-void operator delete(void* block, std::size_t, std::align_val_t) noexcept { release(block); }
-void operator delete[](void* block, std::size_t, std::align_val_t) noexcept { release(block); }
+void operator delete(void* block) noexcept { deallocate(block); }
+void operator delete[](void* block) noexcept { deallocate(block); }
+void operator delete(void* block, std::size_t) noexcept { deallocate(block); }
+void operator delete[](void* block, std::size_t) noexcept { deallocate(block); }
+void operator delete(void* block, const std::nothrow_t&) noexcept { deallocate(block); }
+void operator delete[](void* block, const std::nothrow_t&) noexcept { deallocate(block); }
+void operator delete(void* block, std::align_val_t) noexcept { deallocate(block); }
+void operator delete[](void* block, std::align_val_t) noexcept { deallocate(block); }
+void operator delete(void* block, std::size_t, std::align_val_t) noexcept { deallocate(block); }
+void operator delete[](void* block, std::size_t, std::align_val_t) noexcept { deallocate(block); }
 
 namespace scale_tool {
 
@@ -90,22 +91,24 @@
 }
 
 double cpu_time_of(const std::function<void()>& work) {
-  const double before = thread_cpu_time();
+  const double start_time = thread_cpu_time();
   work();
-  return thread_cpu_time() - before;
+  return thread_cpu_time() - start_time;
 }
 
-Memory allocated() { return {.bytes = counters.bytes, .blocks = counters.blocks}; }
+AllocatedMemory allocated_memory() {
+  return {.bytes = allocation_counters.bytes, .blocks = allocation_counters.blocks};
+}
 
-std::int64_t peak_bytes() { return counters.peak_bytes; }
+std::int64_t peak_allocated_bytes() { return allocation_counters.peak_bytes; }
 
-void reset_peak() { counters.peak_bytes = counters.bytes; }
+void reset_peak_allocated_bytes() { allocation_counters.peak_bytes = allocation_counters.bytes; }
 
 double median(std::vector<double> values) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
-  const auto half = values.size() / 2;
-  return values.size() % 2 == 1 ? values[half] : (values[half - 1] + values[half]) / 2;
+  const auto middle = values.size() / 2;
+  return values.size() % 2 == 1 ? values[middle] : (values[middle - 1] + values[middle]) / 2;
 }
 
 double median_of(std::int64_t repetitions, const std::function<double()>& measure) {
@@ -114,12 +117,12 @@
   return median(std::move(values));
 }
 
-ScratchFolder::ScratchFolder()
+TemporaryDirectory::TemporaryDirectory()
     : path_((std::filesystem::temp_directory_path() / "scale-tool-XXXXXX").string()) {
   if (::mkdtemp(path_.data()) == nullptr) throw std::system_error(errno, std::generic_category(), path_);
 }
 
-ScratchFolder::~ScratchFolder() {
+TemporaryDirectory::~TemporaryDirectory() {
   std::error_code ignored;
   std::filesystem::remove_all(path_, ignored);
 }
--- a/scale/slopes.cpp
+++ b/scale/slopes.cpp
@@ -31,7 +31,7 @@
   const std::string size_name = to_string(kind);
   report_.add(
       {{"part", part_}, {"cost", cost.name}, {"of", size_name}, {"size", size}, {"measured", cost.value}});
-  progress(part_ + ": " + cost.name + " at " + std::to_string(size) + " " + size_name);
+  show_progress(part_ + ": " + cost.name + " at " + std::to_string(size) + " " + size_name);
 }
 
 void SlopeRecorder::add(SizeKind kind, std::int64_t size, const Cost& cost) {
@@ -66,25 +66,25 @@
 }
 
 Row SlopeRecorder::line_row(const Series& series) const {
-  const Line line = least_squares(series.points);
+  const LinearFit fit = fit_least_squares(series.points);
   const double target = settings_.target(series.kind);
-  const double power = target > 0 ? extrapolate_power(series.points.back(), line.exponent, target) : 0;
+  const double power = target > 0 ? extrapolate_power(series.points.back(), fit.exponent, target) : 0;
   return {{"part", part_},
           {"cost", series.cost_name},
           {"of", to_string(series.kind)},
-          {"slope", line.slope},
-          {"intercept", line.intercept},
-          {"residual", line.residual},
-          {"exponent", line.exponent},
+          {"slope", fit.slope},
+          {"intercept", fit.intercept},
+          {"residual", fit.relative_residual},
+          {"exponent", fit.exponent},
           {"asked", static_cast<std::int64_t>(target)},
-          {"line_there", target > 0 ? line.at(target) : 0.0},
+          {"line_there", target > 0 ? fit.cost_at(target) : 0.0},
           {"power_there", power},
-          {"off_line_at", join(line.off_line_at)}};
+          {"off_line_at", join(fit.outlier_sizes)}};
 }
 
 Row SlopeRecorder::reached_row(const Series& series) const {
-  const Line line = least_squares(series.points);
-  const double size = line.slope > 0 ? (series.max_value - line.intercept) / line.slope : 0;
+  const LinearFit fit = fit_least_squares(series.points);
+  const double size = fit.slope > 0 ? (series.max_value - fit.intercept) / fit.slope : 0;
   return {{"part", part_},
           {"cost", series.cost_name},
           {"of", to_string(series.kind)},
@@ -98,7 +98,7 @@
   for (const Series& series : series_)
     if (series.max_value > 0) report_.add(reached_row(series));
   series_.clear();
-  progress("");
+  show_progress("");
 }
 
 }  // namespace scale_tool
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -20,43 +20,43 @@
 constexpr double kRoundingError = 1e-12;
 
 TEST(LeastSquares, FindsTheLineAndWhatIsOffIt) {
-  const Line line = least_squares({{1, 5}, {2, 7}, {4, 11}});
-  EXPECT_NEAR(line.slope, 2, kRoundingError);
-  EXPECT_NEAR(line.intercept, 3, kRoundingError);
-  EXPECT_NEAR(line.residual, 0, kRoundingError);
-  EXPECT_TRUE(line.off_line_at.empty());
-  EXPECT_NEAR(line.at(1e6), 2'000'003, 1e-6);
+  const LinearFit fit = fit_least_squares({{1, 5}, {2, 7}, {4, 11}});
+  EXPECT_NEAR(fit.slope, 2, kRoundingError);
+  EXPECT_NEAR(fit.intercept, 3, kRoundingError);
+  EXPECT_NEAR(fit.relative_residual, 0, kRoundingError);
+  EXPECT_TRUE(fit.outlier_sizes.empty());
+  EXPECT_NEAR(fit.cost_at(1e6), 2'000'003, 1e-6);
   // The squares of 1 to 4 have the line 5 x - 5, with deviations 1, -1, -1, 1 about a mean of 7.5.
-  const Line squares = least_squares({{1, 1}, {2, 4}, {3, 9}, {4, 16}});
+  const LinearFit squares = fit_least_squares({{1, 1}, {2, 4}, {3, 9}, {4, 16}});
   EXPECT_NEAR(squares.slope, 5, kRoundingError);
   EXPECT_NEAR(squares.intercept, -5, kRoundingError);
-  EXPECT_NEAR(squares.residual, 1 / 7.5, kRoundingError);
+  EXPECT_NEAR(squares.relative_residual, 1 / 7.5, kRoundingError);
   EXPECT_NEAR(squares.exponent, 2, kRoundingError);
-  EXPECT_EQ(squares.off_line_at, (std::vector<double>{1, 2}));
+  EXPECT_EQ(squares.outlier_sizes, (std::vector<double>{1, 2}));
 }
 
 TEST(LeastSquares, KeepsItsDigitsWithLargeSizesAndRejectsASingleSize) {
-  EXPECT_NEAR(least_squares({{1e9, 1}, {1e9 + 1, 2}, {1e9 + 2, 3}}).slope, 1, 1e-9);
-  EXPECT_THROW(static_cast<void>(least_squares({{3, 1}, {3, 2}})), std::invalid_argument);
-  EXPECT_THROW(static_cast<void>(least_squares({})), std::invalid_argument);
+  EXPECT_NEAR(fit_least_squares({{1e9, 1}, {1e9 + 1, 2}, {1e9 + 2, 3}}).slope, 1, 1e-9);
+  EXPECT_THROW(static_cast<void>(fit_least_squares({{3, 1}, {3, 2}})), std::invalid_argument);
+  EXPECT_THROW(static_cast<void>(fit_least_squares({})), std::invalid_argument);
 }
 
 constexpr int kBlocks = 10;
 constexpr int kBlockBytes = 1000;
 
 TEST(ResourceMeters, CountWhatIsAllocatedAndItsPeak) {
-  const Memory before = allocated();
-  reset_peak();
+  const AllocatedMemory before = allocated_memory();
+  reset_peak_allocated_bytes();
   std::vector<std::unique_ptr<char[]>> blocks;
   blocks.reserve(kBlocks);
   for (int i = 0; i < kBlocks; i++) blocks.push_back(std::make_unique<char[]>(kBlockBytes));
-  const Memory with_blocks = allocated();
+  const AllocatedMemory with_blocks = allocated_memory();
   EXPECT_EQ(with_blocks.blocks - before.blocks, kBlocks + 1);  // and the vector's own
   EXPECT_GE(with_blocks.bytes - before.bytes, kBlocks * kBlockBytes);
   blocks = decltype(blocks)();
-  EXPECT_EQ(allocated().blocks, before.blocks);
-  EXPECT_EQ(allocated().bytes, before.bytes);
-  EXPECT_GE(peak_bytes() - before.bytes, kBlocks * kBlockBytes);
+  EXPECT_EQ(allocated_memory().blocks, before.blocks);
+  EXPECT_EQ(allocated_memory().bytes, before.bytes);
+  EXPECT_GE(peak_allocated_bytes() - before.bytes, kBlocks * kBlockBytes);
 }
 
 struct ProgramRun {
@@ -91,7 +91,7 @@
                         {"[slopes]\nendpoints = [10, 10]\n", ":2: slopes.endpoints: two different sizes"},
                         {"slopes = 7\n", ":1: slopes: must be a table"},
                         {"[slopes]\nendpoints = [\n", ":"}};
-  const ScratchFolder folder;
+  const TemporaryDirectory folder;
   const std::string file = folder.path() + "/experiment.toml";
   const std::string prefix = "scale_tool: " + file;
   for (const auto& [text, problem] : cases) {
