--- a/scale/relay_peers.cpp
+++ b/scale/relay_peers.cpp
@@ -14,15 +14,17 @@
 
 namespace {
 
-constexpr auto kConditionInterval = std::chrono::milliseconds(2);  // between two looks at a condition
-constexpr auto kHeartbeatInterval = std::chrono::seconds(2);       // of empty lines on a watch
+constexpr auto kConditionCheckInterval = std::chrono::milliseconds(2);  // between two checks of a condition
+constexpr auto kHeartbeatInterval = std::chrono::seconds(2);            // between empty lines on a watch
 constexpr std::int64_t kFirstRequestId = 2'000'000'000'000'000;
 
-net::ip::tcp::endpoint loopback(std::uint16_t port = 0) { return {net::ip::address_v4::loopback(), port}; }
+net::ip::tcp::endpoint loopback_endpoint(std::uint16_t port = 0) {
+  return {net::ip::address_v4::loopback(), port};
+}
 
-std::string to_address(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
+std::string loopback_address(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-// A peer that does not take the answer has gone; its next read tells.
+// If the peer has closed the connection, the next read from it reports that.
 void write_ignoring_errors(net::ip::tcp::socket& socket, const std::string& bytes) {
   error_code ignored;
   net::write(socket, net::buffer(bytes), ignored);
@@ -31,20 +33,25 @@
 }  // namespace
 
 RelayPeers::RelayPeers()
-    : discovery_(io_, loopback()), endpoint_(io_, loopback()), reserved_port_(io_), heartbeat_(io_) {
-  reserved_port_.open(tcp::v4());
-  reserved_port_.set_option(tcp::socket::reuse_address(true));
-  reserved_port_.bind(loopback());
-  accept(discovery_, &RelayPeers::serve_discovery);
-  accept(endpoint_, &RelayPeers::serve_endpoint);
+    : discovery_acceptor_(io_, loopback_endpoint()),
+      endpoint_acceptor_(io_, loopback_endpoint()),
+      relay_port_reservation_(io_),
+      heartbeat_timer_(io_) {
+  relay_port_reservation_.open(tcp::v4());
+  relay_port_reservation_.set_option(tcp::socket::reuse_address(true));
+  relay_port_reservation_.bind(loopback_endpoint());
+  accept(discovery_acceptor_, &RelayPeers::serve_discovery);
+  accept(endpoint_acceptor_, &RelayPeers::serve_endpoint);
   schedule_heartbeat();
 }
 
 std::string RelayPeers::address_of(const tcp::acceptor& acceptor) {
-  return to_address(acceptor.local_endpoint().port());
+  return loopback_address(acceptor.local_endpoint().port());
 }
 
-std::string RelayPeers::relay_address() const { return to_address(reserved_port_.local_endpoint().port()); }
+std::string RelayPeers::relay_address() const {
+  return loopback_address(relay_port_reservation_.local_endpoint().port());
+}
 
 void RelayPeers::accept(tcp::acceptor& acceptor, Handler handler) {
   acceptor.async_accept([this, &acceptor, handler](error_code error, tcp::socket socket) {
@@ -79,13 +86,13 @@
 }
 
 void RelayPeers::serve_endpoint(const std::shared_ptr<Connection>& connection) {
-  delivered_++;
+  delivered_count_++;
   write_ignoring_errors(connection->socket, "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n");
 }
 
 void RelayPeers::schedule_heartbeat() {
-  heartbeat_.expires_after(kHeartbeatInterval);
-  heartbeat_.async_wait([this](error_code error) {
+  heartbeat_timer_.expires_after(kHeartbeatInterval);
+  heartbeat_timer_.async_wait([this](error_code error) {
     if (error) return;
     publish("");
     schedule_heartbeat();
@@ -97,17 +104,17 @@
 }
 
 void RelayPeers::write_chunk(Connection& watch, const std::string& line) {
-  char size[24];
-  std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
-  const std::string bytes = size + line + "\n\r\n";
+  char size_line[24];
+  std::snprintf(size_line, sizeof size_line, "%zx\r\n", line.size() + 1);
+  const std::string bytes = size_line + line + "\n\r\n";
   write_ignoring_errors(watch.socket, bytes);
-  watch_bytes_ += static_cast<std::int64_t>(bytes.size());
+  watch_bytes_sent_ += static_cast<std::int64_t>(bytes.size());
 }
 
 bool RelayPeers::is_relay_ready() {
   tcp::socket socket(io_);
   error_code error;
-  socket.connect(loopback(reserved_port_.local_endpoint().port()), error);
+  socket.connect(loopback_endpoint(relay_port_reservation_.local_endpoint().port()), error);
   if (error) return false;
   net::write(socket, net::buffer(std::string("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")), error);
   boost::beast::flat_buffer buffer;
@@ -121,14 +128,14 @@
       std::find_if(clients_.begin(), clients_.end(), [](const auto& client) { return !client->is_busy; });
   if (idle != clients_.end()) return *idle;
   tcp::socket socket(io_);
-  socket.connect(loopback(reserved_port_.local_endpoint().port()));
+  socket.connect(loopback_endpoint(relay_port_reservation_.local_endpoint().port()));
   socket.set_option(tcp::no_delay(true));
   return clients_.emplace_back(std::make_shared<Connection>(std::move(socket)));
 }
 
 std::string RelayPeers::message_request(std::int64_t destination, std::int64_t body_bytes) {
-  const std::string request_id = std::to_string(kFirstRequestId + submitted_);
-  submitted_++;
+  const std::string request_id = std::to_string(kFirstRequestId + submitted_count_);
+  submitted_count_++;
   const std::string body(static_cast<std::size_t>(body_bytes), 'x');
   return "POST /" + kMessageClass + " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + request_id +
          "\r\nX-Class: " + kMessageClass +
@@ -149,17 +156,17 @@
                    [this, client](error_code error, std::size_t) {
                      if (error) {
                        std::erase(clients_, client);
-                       rejected_++;
+                       rejected_count_++;
                        return;
                      }
                      client->is_busy = false;
                      const bool is_accepted = client->response.result_int() / 100 == 2;
-                     (is_accepted ? accepted_ : rejected_)++;
+                     (is_accepted ? accepted_count_ : rejected_count_)++;
                    });
 }
 
 void RelayPeers::run_until(const std::function<bool()>& condition) {
-  while (!condition()) run_for(kConditionInterval);
+  while (!condition()) run_for(kConditionCheckInterval);
 }
 
 void RelayPeers::run_for(std::chrono::microseconds duration) {
--- a/scale/relay_peers.hpp
+++ b/scale/relay_peers.hpp
@@ -1,4 +1,5 @@
-// The peers of a relay, on loopback sockets: discovery, endpoints and clients.
+// Stand-ins for the peers of a relay, on loopback sockets: the discovery service, the endpoints and the
+// clients.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -17,38 +18,43 @@
 
 namespace scale_tool {
 
-// Runs in one event loop on the caller's thread, within the run_... functions alone. Addresses are
-// "host:port". Invariant: `watches_` are the open watches of the endpoint list; a client connection is busy
-// from the submission of a message until its response.
+// The peers of one relay. Their event loop runs on the caller's thread, and only during run_until() and
+// run_for(). Addresses have the form "host:port". Invariant: `watches_` holds the open watches of the
+// endpoint list; a client connection is busy from the submission of a message until its response has been
+// read.
 class RelayPeers {
  public:
-  // Throws boost::system::system_error where no port is free.
+  // Listens on free ports. Throws boost::system::system_error if no port is free.
   RelayPeers();
 
-  [[nodiscard]] std::string discovery_address() const { return address_of(discovery_); }
-  // Of all endpoints that serve.
-  [[nodiscard]] std::string endpoint_address() const { return address_of(endpoint_); }
-  // Reserved for the relay to listen on.
+  [[nodiscard]] std::string discovery_address() const { return address_of(discovery_acceptor_); }
+  // The one address at which all endpoints are served.
+  [[nodiscard]] std::string endpoint_address() const { return address_of(endpoint_acceptor_); }
+  // The address reserved for the relay to listen on.
   [[nodiscard]] std::string relay_address() const;
 
-  // What a new watch of the endpoint list begins with.
+  // Sets the list that is sent at the start of each new watch of the endpoint list.
   void set_initial_list(std::string list) { initial_list_ = std::move(list); }
-  // Sends a list to all open watches.
+  // Sends a list on all open watches.
   void publish(const std::string& list);
-  // Sent on all watches, with the framing of the chunks.
-  [[nodiscard]] std::int64_t watch_bytes() const { return watch_bytes_; }
+  // Bytes sent on all watches, including the chunk framing but not the response headers.
+  [[nodiscard]] std::int64_t watch_bytes_sent() const { return watch_bytes_sent_; }
   [[nodiscard]] std::size_t watch_count() const { return watches_.size(); }
 
-  // Whether the relay answers that it is ready.
+  // Whether the relay answers a health check with 200 OK. Blocks until it answers or the connection fails.
   [[nodiscard]] bool is_relay_ready();
-  // Submits a message to the relay, on an idle connection or a new one.
+  // Submits a message to the relay, on an idle client connection or, if there is none, on a new one. Throws
+  // boost::system::system_error if the relay can't be connected to or written to.
   void submit_message(std::int64_t destination, std::int64_t body_bytes);
-  // Messages that came to an endpoint, and those that the relay has accepted or rejected.
-  [[nodiscard]] std::int64_t delivered() const { return delivered_; }
-  [[nodiscard]] std::int64_t accepted() const { return accepted_; }
-  [[nodiscard]] std::int64_t rejected() const { return rejected_; }
+  // Number of messages that were delivered to an endpoint, that the relay accepted, and that the relay
+  // rejected or whose connection failed before the response.
+  [[nodiscard]] std::int64_t delivered_count() const { return delivered_count_; }
+  [[nodiscard]] std::int64_t accepted_count() const { return accepted_count_; }
+  [[nodiscard]] std::int64_t rejected_count() const { return rejected_count_; }
 
+  // Runs the event loop until the condition holds. The condition is checked before the loop first runs.
   void run_until(const std::function<bool()>& condition);
+  // Runs the event loop for this long.
   void run_for(std::chrono::microseconds duration);
 
  private:
@@ -77,18 +83,19 @@
   void read_response(const std::shared_ptr<Connection>& client);
 
   boost::asio::io_context io_{1};
-  tcp::acceptor discovery_;
-  tcp::acceptor endpoint_;
-  tcp::socket reserved_port_;  // bound, not listening: nobody else is given its port
-  boost::asio::steady_timer heartbeat_;
+  tcp::acceptor discovery_acceptor_;
+  tcp::acceptor endpoint_acceptor_;
+  // Bound but not listening, so that the port is not given to another process.
+  tcp::socket relay_port_reservation_;
+  boost::asio::steady_timer heartbeat_timer_;
   std::string initial_list_;
   std::vector<std::shared_ptr<Connection>> watches_;
   std::vector<std::shared_ptr<Connection>> clients_;
-  std::int64_t watch_bytes_ = 0;
-  std::int64_t submitted_ = 0;
-  std::int64_t delivered_ = 0;
-  std::int64_t accepted_ = 0;
-  std::int64_t rejected_ = 0;
+  std::int64_t watch_bytes_sent_ = 0;
+  std::int64_t submitted_count_ = 0;
+  std::int64_t delivered_count_ = 0;
+  std::int64_t accepted_count_ = 0;
+  std::int64_t rejected_count_ = 0;
 };
 
 }  // namespace scale_tool
--- a/scale/relay_process.hpp
+++ b/scale/relay_process.hpp
@@ -1,4 +1,4 @@
-// The relay's program as a child process, with its processor time and memory.
+// Runs the relay as a child process and reads its processor time, memory and log.
 #pragma once
 
 #include <sys/types.h>
@@ -9,34 +9,38 @@
 
 namespace scale_tool {
 
-// A field of /proc/PID/status.
+// A memory field of /proc/<pid>/status: the resident set size, or its peak.
 enum class MemoryField { resident, peak_resident };
 
-// Invariant: `pid_` is the running child, or -1 once it has ended and been waited for.
+// A running relay process. Invariant: `pid_` is the id of the child process, or -1 once it has exited and has
+// been reaped.
 class RelayProcess {
  public:
-  // Starts the program with this configuration, in a folder for its log, configuration and state. Throws
-  // std::system_error where it can't be started.
-  RelayProcess(const std::string& program, const std::string& folder, const std::string& config);
-  // Kills it.
+  // Starts the program with this configuration. The directory receives its log, its configuration file and
+  // its state. Throws std::system_error if the process can't be started.
+  RelayProcess(const std::string& program, const std::string& directory, const std::string& config);
+  // Kills the process if it is still running.
   ~RelayProcess();
   RelayProcess(const RelayProcess&) = delete;
   RelayProcess& operator=(const RelayProcess&) = delete;
 
-  // Where the relay of a folder keeps its state.
-  [[nodiscard]] static std::string state_folder(const std::string& folder) { return folder + "/state"; }
+  // The state directory of a relay that is started in this directory.
+  [[nodiscard]] static std::string state_directory(const std::string& directory) {
+    return directory + "/state";
+  }
 
-  [[nodiscard]] bool has_ended();
-  // Of all its threads, user and system, in microseconds.
+  [[nodiscard]] bool has_exited();
+  // Processor time of all threads of the process, user and system, in microseconds.
   [[nodiscard]] double cpu_time() const;
+  // Returns 0 if the field can't be read.
   [[nodiscard]] std::int64_t memory_bytes(MemoryField field) const;
-  // All that it has logged.
+  // Everything that the process has logged so far.
   [[nodiscard]] std::string log() const;
 
  private:
-  void kill();
+  void kill_and_reap();
 
-  std::string folder_;
+  std::string directory_;
   pid_t pid_ = -1;
   clockid_t cpu_clock_{};
 };
