--- a/scale/journal_slopes.cpp
+++ b/scale/journal_slopes.cpp
@@ -1,8 +1,10 @@
-// The journal: processor time (the kernel's part included), room on disk and memory of held messages.
+// Measures the journal: the processor time (including system time), the disk space and the memory of held
+// messages.
 #include <algorithm>
 #include <filesystem>
 #include <optional>
 #include <stdexcept>
+#include <string>
 #include <utility>
 #include <vector>
 
@@ -20,16 +22,16 @@
 using message_relay::MessageId;
 using message_relay::Outcome;
 
-constexpr MessageId kMessagesPerCommit = 64;  // where their number is not what is varied
-constexpr std::int64_t kCommits = 100;        // of one size, together one measurement
-constexpr MessageId kDestinations = 190'000;
+constexpr MessageId kMessagesPerCommit = 64;  // in measurements that don't vary it
+constexpr std::int64_t kCommitCount = 100;    // over which the time of a commit is averaged
+constexpr MessageId kDestinationCount = 190'000;
 
 Message make_message(MessageId id, std::int64_t body_bytes) {
-  return sample_message(id, static_cast<std::int64_t>(id % kDestinations), body_bytes);
+  return sample_message(id, static_cast<std::int64_t>(id % kDestinationCount), body_bytes);
 }
 
-// Measures a journal as one incarnation of the relay writes it and the next recovers it. Each cost is of all
-// messages together.
+// Measures a journal that one instance of the relay writes and the next one recovers. Each cost is the total
+// for all messages.
 class JournalBench {
  public:
   JournalBench(std::int64_t messages, std::int64_t body_bytes)
@@ -42,30 +44,30 @@
   void record_messages(Journal& journal);
   void record_attempts(Journal& journal);
   void compact(Journal& journal);
-  void recover();
+  void recover_and_complete();
 
-  // Processor time of the work on each message, without the commits: those cost the same whatever the records
-  // are.
+  // Processor time of the work on all messages. Excludes the commits, whose cost does not depend on the type
+  // of the records.
   template <class Work>
   double for_each_message(Journal& journal, Work work) const;
-  // One past the last message of a commit.
+  // One past the last message of the commit that begins with `first`.
   MessageId end_of_commit(MessageId first) const {
     return std::min(first + kMessagesPerCommit, message_count_ + 1);
   }
   double file_bytes() const {
-    return static_cast<double>(std::filesystem::file_size(folder_.path() + "/journal"));
+    return static_cast<double>(std::filesystem::file_size(directory_.path() + "/journal"));
   }
   void add(const std::string& name, double value) { costs_.push_back({name, value}); }
 
   MessageId message_count_;
   std::int64_t body_bytes_;
-  TemporaryDirectory folder_;
+  TemporaryDirectory directory_;
   Costs costs_;
 };
 
 Costs JournalBench::measure() {
   write_and_compact();
-  recover();
+  recover_and_complete();
   return costs_;
 }
 
@@ -83,7 +85,7 @@
 
 void JournalBench::write_and_compact() {
   const std::int64_t bytes_before = allocated_memory().bytes;
-  Journal journal(folder_.path(), kUnlimitedBytes);
+  Journal journal(directory_.path(), kUnlimitedBytes);
   record_messages(journal);
   const double file_bytes_of_messages = file_bytes();
   add("on disk, bytes", file_bytes_of_messages);
@@ -120,9 +122,9 @@
   double total = 0;
   double longest_but_last = 0;
   double last = 0;
-  for (bool has_more = true; has_more;) {
+  for (bool has_more_steps = true; has_more_steps;) {
     longest_but_last = std::max(longest_but_last, last);
-    last = cpu_time_of([&] { has_more = journal.compact(); });
+    last = cpu_time_of([&] { has_more_steps = journal.compact(); });
     total += last;
   }
   add("compacted, us", total);
@@ -130,24 +132,25 @@
   add("compacted, last step, us", last);
 }
 
-void JournalBench::recover() {
+void JournalBench::recover_and_complete() {
   const std::int64_t bytes_before = allocated_memory().bytes;
   reset_peak_allocated_bytes();
   std::optional<Journal> journal;
-  add("recovered, us", cpu_time_of([&] { journal.emplace(folder_.path(), kUnlimitedBytes); }));
+  add("recovered, us", cpu_time_of([&] { journal.emplace(directory_.path(), kUnlimitedBytes); }));
   add("recovered, most memory, bytes", static_cast<double>(peak_allocated_bytes() - bytes_before));
   if (journal->messages().size() != message_count_)
-    throw std::runtime_error("journal: not all was recovered");
+    throw std::runtime_error("journal: expected to recover " + std::to_string(message_count_) +
+                             " messages, recovered " + std::to_string(journal->messages().size()));
   add("over, us", for_each_message(*journal, [&](MessageId id) { journal->record_completed(id); }));
 }
 
-// Processor time of one commit, the mean of many.
-double commit_time(std::int64_t records, std::int64_t body_bytes) {
-  const TemporaryDirectory folder;
-  Journal journal(folder.path(), kUnlimitedBytes);
+// Mean processor time of one commit of this many new messages.
+double mean_commit_time(std::int64_t records, std::int64_t body_bytes) {
+  const TemporaryDirectory directory;
+  Journal journal(directory.path(), kUnlimitedBytes);
   double cpu_time = 0;
   MessageId next_id = 1;
-  for (std::int64_t i = 0; i < kCommits; i++) {
+  for (std::int64_t i = 0; i < kCommitCount; i++) {
     const MessageId first = next_id;
     const MessageId end = first + static_cast<MessageId>(records);
     for (; next_id < end; next_id++) journal.record_message(next_id, make_message(next_id, body_bytes));
@@ -155,7 +158,7 @@
     for (MessageId id = first; id < end; id++) journal.record_completed(id);
     journal.commit();
   }
-  return cpu_time / static_cast<double>(kCommits);
+  return cpu_time / static_cast<double>(kCommitCount);
 }
 
 }  // namespace
@@ -171,9 +174,9 @@
   recorder.report_size_reaching(SizeKind::held_messages, "recovered, us",
                                 settings.target_restart_seconds * kMicrosecondsPerSecond);
   for (const auto records : settings.records_per_commit) {
-    const double commit =
-        median_of(settings.repetitions, [&] { return commit_time(records, settings.body_bytes); });
-    recorder.add(SizeKind::records_per_commit, records, {"commit, us", commit});
+    const double commit_time =
+        median_of(settings.repetitions, [&] { return mean_commit_time(records, settings.body_bytes); });
+    recorder.add(SizeKind::records_per_commit, records, {"commit, us", commit_time});
   }
 }
 
--- a/scale/list_slopes.cpp
+++ b/scale/list_slopes.cpp
@@ -1,9 +1,10 @@
-// Reading the endpoint list of discovery: the splitter of the stream, the JSON parser, the endpoints; and the
-// longest list that is read.
+// Measures how the endpoint list of discovery is read: splitting the stream, parsing the JSON and reading the
+// endpoints. Also reports the number of endpoints at which the list reaches its maximum length.
 #include <rapidjson/document.h>
 
 #include <optional>
 #include <stdexcept>
+#include <string>
 
 #include "endpoint_catalogue.hpp"
 #include "endpoint_list.hpp"
@@ -14,21 +15,24 @@
 namespace scale_tool {
 namespace {
 
-constexpr std::size_t kMaxReadBytes = 65'536;  // that one read of the socket brings
+constexpr std::size_t kSocketReadBytes = 65'536;  // of the list in one read of the socket, at most
 
-// The list as it comes out of a stream. Throws std::runtime_error where it does not.
+// Splits the list from a stream of socket reads and returns it. Throws std::runtime_error if the splitter
+// does not return it after the last read.
 std::string split_from_stream(const std::string& list) {
-  message_relay::JsonStreamSplitter stream;
+  message_relay::JsonStreamSplitter splitter;
   std::optional<std::string> value;
-  for (std::size_t offset = 0; offset < list.size(); offset += kMaxReadBytes) {
-    stream.append(list.substr(offset, kMaxReadBytes));
-    value = stream.next();
+  for (std::size_t offset = 0; offset < list.size(); offset += kSocketReadBytes) {
+    splitter.append(list.substr(offset, kSocketReadBytes));
+    value = splitter.next();
   }
-  if (!value) throw std::runtime_error("list: no whole value was found");
+  if (!value)
+    throw std::runtime_error("list: expected a complete JSON value in a stream of " +
+                             std::to_string(list.size()) + " bytes, found none");
   return *value;
 }
 
-Costs read_costs(const std::string& list, const configuration::SettingNames& names) {
+Costs parse_and_read_costs(const std::string& list, const configuration::SettingNames& names) {
   rapidjson::Document document;
   const double parse_time =
       cpu_time_of([&] { document.Parse<rapidjson::kParseIterativeFlag>(list.data(), list.size()); });
@@ -58,7 +62,8 @@
       return cpu_time_of([&] { static_cast<void>(split_from_stream(list)); });
     });
     recorder.add(SizeKind::listed_endpoints, count, {"streamed, us", split_time});
-    recorder.add_medians(SizeKind::listed_endpoints, count, [&] { return read_costs(list, names); });
+    recorder.add_medians(SizeKind::listed_endpoints, count,
+                         [&] { return parse_and_read_costs(list, names); });
   }
   recorder.report_size_reaching(SizeKind::listed_endpoints, "whole list, bytes",
                                 static_cast<double>(settings.max_list_bytes));
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -1,4 +1,5 @@
-// The dispatcher through its public interface: the processor time of a round, and its memory.
+// Measures the dispatcher through its public interface: the processor time of rounds, and the allocated
+// memory.
 #include <algorithm>
 #include <cstddef>
 #include <map>
@@ -25,13 +26,15 @@
 constexpr Time kMillisecond = 1'000;
 constexpr Time kSecond = 1'000'000;
 constexpr Time kIdleInterval = 5 * kMillisecond;
-constexpr Time kRetryAfter = 1800 * kSecond;  // nothing is sent before it is over
-constexpr int kMaxCallsInFlight = 64;         // where their number is not what is varied
-constexpr std::int64_t kMinRounds = 5;        // at least so many make a median
-constexpr std::int64_t kDeliveredMessages = 2000;
-constexpr std::int64_t kStride = 7919;  // a prime, to visit a list out of its order
-
-// Deadlines are so far off that held messages stay held.
+constexpr Time kRetryAfter = 1800 * kSecond;  // no message is sent before it has passed
+constexpr int kDefaultMaxCallsInFlight = 64;  // in measurements that don't vary it
+constexpr std::int64_t kMinRoundCount = 5;    // fewest rounds that a median is taken of
+constexpr std::int64_t kDeliveredMessageCount = 2000;
+// Distance in the list between endpoints that are used one after the other. A prime number, so that the
+// endpoints are not visited in the order of the list.
+constexpr std::int64_t kEndpointStride = 7919;
+
+// The deadline is long enough that no held message expires during a measurement.
 dispatch::Settings dispatcher_settings(int max_calls_in_flight) {
   dispatch::Settings settings;
   settings.classes = {{.priority_weight = 1,
@@ -54,38 +57,39 @@
   return endpoints;
 }
 
-// A dispatcher, its clock and its calls. All functions that run rounds return microseconds of processor time,
-// where they return a double.
-// Invariant: `sends_` are the calls that the last round began.
+// A dispatcher with a simulated clock and simulated calls. The functions that run rounds and return a double
+// return processor time in microseconds. Invariant: `started_calls_` holds the calls that the last round
+// started.
 class DispatcherBench {
  public:
-  explicit DispatcherBench(int max_calls_in_flight = kMaxCallsInFlight)
+  explicit DispatcherBench(int max_calls_in_flight = kDefaultMaxCallsInFlight)
       : settings_(dispatcher_settings(max_calls_in_flight)), dispatcher_(settings_, 1) {}
 
   double run_round(const std::vector<Event>& events, Time interval = kMillisecond);
   double run_idle_round() { return run_round({dispatch::event::TimerExpired{0}}, kIdleInterval); }
-  double set_list(std::vector<Endpoint> endpoints);
-  // The calls that the last round began end so.
+  double set_endpoint_list(std::vector<Endpoint> endpoints);
+  // Events that end the calls that the last round started with this outcome.
   [[nodiscard]] std::vector<Event> end_calls(Outcome outcome, Time retry_after = 0);
-  [[nodiscard]] dispatch::event::Arrival new_message(DestinationId destination);
+  [[nodiscard]] dispatch::event::Arrival next_arrival(DestinationId destination);
 
-  // Lists so many destinations of an endpoint each, and fails calls until all of the endpoints are ejected.
-  void make_unavailable(std::int64_t destinations);
-  // Lists so many destinations of an endpoint each, and rejects a call to each for a long time.
+  // Lists this many destinations with one endpoint each, and fails calls until all endpoints are ejected.
+  void eject_all_endpoints(std::int64_t destinations);
+  // Lists this many destinations with one endpoint each, and rejects a call to each with a long Retry-After.
   void reject_calls_to(std::int64_t destinations);
-  // Takes on messages in one round, spread over the destinations. Returns the bytes that are kept for them.
+  // Accepts messages for all destinations in turn, in one round. Returns the bytes that remain allocated for
+  // them.
   [[nodiscard]] std::int64_t accept_messages(std::int64_t messages, std::int64_t destinations);
 
   [[nodiscard]] std::string learned_state() const { return dispatcher_.learned_state(); }
 
  private:
-  void call_each(std::int64_t destinations, Outcome outcome, Time retry_after = 0);
+  void end_call_to_each(std::int64_t destinations, Outcome outcome, Time retry_after = 0);
 
   dispatch::Settings settings_;
   dispatch::Dispatcher dispatcher_;
   Time now_ = kSecond;
   std::vector<dispatch::Action> actions_;
-  std::vector<dispatch::action::Send> sends_;
+  std::vector<dispatch::action::Send> started_calls_;
   std::map<MessageId, int> next_attempt_;
   MessageId last_message_ = 0;
 };
@@ -94,19 +98,19 @@
   now_ += interval;
   actions_.clear();
   const double cpu_time = cpu_time_of([&] { dispatcher_.handle(now_, events, actions_); });
-  sends_.clear();
+  started_calls_.clear();
   for (const auto& action : actions_)
-    if (const auto* send = std::get_if<dispatch::action::Send>(&action)) sends_.push_back(*send);
+    if (const auto* send = std::get_if<dispatch::action::Send>(&action)) started_calls_.push_back(*send);
   return cpu_time;
 }
 
-double DispatcherBench::set_list(std::vector<Endpoint> endpoints) {
+double DispatcherBench::set_endpoint_list(std::vector<Endpoint> endpoints) {
   return run_round({dispatch::event::EndpointListSnapshot{.endpoints = std::move(endpoints)}});
 }
 
 std::vector<Event> DispatcherBench::end_calls(Outcome outcome, Time retry_after) {
   std::vector<Event> events;
-  for (const auto& send : sends_) {
+  for (const auto& send : started_calls_) {
     dispatch::event::AttemptEnded event;
     event.id = send.id;
     event.attempt = next_attempt_[send.id]++;
@@ -120,7 +124,7 @@
   return events;
 }
 
-dispatch::event::Arrival DispatcherBench::new_message(DestinationId destination) {
+dispatch::event::Arrival DispatcherBench::next_arrival(DestinationId destination) {
   dispatch::event::Arrival arrival;
   arrival.id = ++last_message_;
   arrival.destination = destination;
@@ -128,13 +132,14 @@
   return arrival;
 }
 
-// A message to each destination, as many at once as there may be calls in flight; then it is cancelled.
-void DispatcherBench::call_each(std::int64_t destinations, Outcome outcome, Time retry_after) {
-  for (std::int64_t begin = 0; begin < destinations; begin += kMaxCallsInFlight) {
+// Sends one message to each destination and ends its call with this outcome, then cancels the message. Sends
+// as many messages at once as there may be calls in flight.
+void DispatcherBench::end_call_to_each(std::int64_t destinations, Outcome outcome, Time retry_after) {
+  for (std::int64_t begin = 0; begin < destinations; begin += kDefaultMaxCallsInFlight) {
     const MessageId first_message = last_message_ + 1;
-    const std::int64_t end = std::min(destinations, begin + kMaxCallsInFlight);
+    const std::int64_t end = std::min(destinations, begin + kDefaultMaxCallsInFlight);
     std::vector<Event> events;
-    for (std::int64_t i = begin; i < end; i++) events.emplace_back(new_message(i));
+    for (std::int64_t i = begin; i < end; i++) events.emplace_back(next_arrival(i));
     run_round(events);
     events = end_calls(outcome, retry_after);
     for (MessageId id = first_message; id <= last_message_; id++)
@@ -144,30 +149,31 @@
   next_attempt_.clear();
 }
 
-void DispatcherBench::make_unavailable(std::int64_t destinations) {
-  set_list(make_endpoints(destinations, 1));
+void DispatcherBench::eject_all_endpoints(std::int64_t destinations) {
+  set_endpoint_list(make_endpoints(destinations, 1));
   while (dispatcher_.excluded_endpoint_count() < static_cast<std::size_t>(destinations))
-    call_each(destinations, Outcome::connect_failed);
+    end_call_to_each(destinations, Outcome::connect_failed);
 }
 
 void DispatcherBench::reject_calls_to(std::int64_t destinations) {
-  set_list(make_endpoints(destinations, 1));
-  call_each(destinations, Outcome::rejected, kRetryAfter);
+  set_endpoint_list(make_endpoints(destinations, 1));
+  end_call_to_each(destinations, Outcome::rejected, kRetryAfter);
 }
 
 std::int64_t DispatcherBench::accept_messages(std::int64_t messages, std::int64_t destinations) {
   const std::int64_t bytes_before = allocated_memory().bytes;
   {
     std::vector<Event> events;
-    for (std::int64_t i = 0; i < messages; i++) events.emplace_back(new_message(i % destinations));
+    for (std::int64_t i = 0; i < messages; i++) events.emplace_back(next_arrival(i % destinations));
     run_round(events);
     actions_ = std::vector<dispatch::Action>();
   }
   return allocated_memory().bytes - bytes_before;
 }
 
-// Rounds in which health checks fail at once, as they do while destinations are down.
-double median_round_in_outage(DispatcherBench& bench, std::int64_t rounds) {
+// Median processor time of rounds in which health checks fail at once, as they do while destinations are
+// unavailable.
+double median_round_time_in_outage(DispatcherBench& bench, std::int64_t rounds) {
   return median_of(rounds, [&] {
     auto events = bench.end_calls(Outcome::connect_failed);
     events.emplace_back(dispatch::event::TimerExpired{0});
@@ -176,55 +182,56 @@
 }
 
 std::int64_t round_count(const SlopesSettings& settings) {
-  return std::max(settings.repetitions, kMinRounds);
+  return std::max(settings.repetitions, kMinRoundCount);
 }
 
 void measure_held_messages(SlopeRecorder& recorder, std::int64_t messages) {
   const SlopesSettings& settings = recorder.settings();
   DispatcherBench bench;
-  bench.reject_calls_to(settings.destinations_of_messages);
-  const std::int64_t bytes = bench.accept_messages(messages, settings.destinations_of_messages);
-  const double round = median_of(round_count(settings), [&] { return bench.run_idle_round(); });
-  recorder.add(SizeKind::held_messages, messages, {"round, told to wait, us", round});
+  bench.reject_calls_to(settings.message_destination_count);
+  const std::int64_t bytes = bench.accept_messages(messages, settings.message_destination_count);
+  const double round_time = median_of(round_count(settings), [&] { return bench.run_idle_round(); });
+  recorder.add(SizeKind::held_messages, messages, {"round, told to wait, us", round_time});
   recorder.add(SizeKind::held_messages, messages, {"memory, bytes", static_cast<double>(bytes)});
 }
 
 void measure_held_messages_in_outage(SlopeRecorder& recorder, std::int64_t messages) {
   const SlopesSettings& settings = recorder.settings();
   DispatcherBench bench;
-  bench.make_unavailable(settings.destinations_of_messages);
-  static_cast<void>(bench.accept_messages(messages, settings.destinations_of_messages));
-  const double round = median_round_in_outage(bench, round_count(settings));
-  recorder.add(SizeKind::held_messages, messages, {"round, destinations down, us", round});
+  bench.eject_all_endpoints(settings.message_destination_count);
+  static_cast<void>(bench.accept_messages(messages, settings.message_destination_count));
+  const double round_time = median_round_time_in_outage(bench, round_count(settings));
+  recorder.add(SizeKind::held_messages, messages, {"round, destinations down, us", round_time});
 }
 
 void measure_unavailable_destinations(SlopeRecorder& recorder, std::int64_t destinations) {
   const std::int64_t messages = recorder.settings().held_messages.front();
   DispatcherBench bench;
-  bench.make_unavailable(destinations);
+  bench.eject_all_endpoints(destinations);
   static_cast<void>(bench.accept_messages(messages, destinations));
-  const double round = median_round_in_outage(bench, round_count(recorder.settings()));
+  const double round_time = median_round_time_in_outage(bench, round_count(recorder.settings()));
   recorder.add(SizeKind::unavailable_destinations, destinations,
-               {"round, " + std::to_string(messages) + " held, us", round});
+               {"round, " + std::to_string(messages) + " held, us", round_time});
 }
 
 void measure_calls_in_flight(SlopeRecorder& recorder, std::int64_t calls) {
   DispatcherBench bench(static_cast<int>(2 * calls));
-  bench.set_list(make_endpoints(calls, 1));
+  bench.set_endpoint_list(make_endpoints(calls, 1));
   static_cast<void>(bench.accept_messages(calls, calls));
-  const double round = median_of(round_count(recorder.settings()), [&] { return bench.run_idle_round(); });
-  recorder.add(SizeKind::calls_in_flight, calls, {"round, us", round});
+  const double round_time =
+      median_of(round_count(recorder.settings()), [&] { return bench.run_idle_round(); });
+  recorder.add(SizeKind::calls_in_flight, calls, {"round, us", round_time});
 }
 
-// Processor time of one message from its arrival to its delivery.
-double delivery_time(DispatcherBench& bench, const std::vector<Endpoint>& endpoints) {
+// Mean processor time of one message from its arrival to its delivery.
+double mean_delivery_time(DispatcherBench& bench, const std::vector<Endpoint>& endpoints) {
   double cpu_time = 0;
-  for (std::int64_t i = 0; i < kDeliveredMessages; i++) {
-    const Endpoint& endpoint = endpoints[static_cast<std::size_t>(i * kStride) % endpoints.size()];
-    cpu_time += bench.run_round({bench.new_message(endpoint.destination)});
+  for (std::int64_t i = 0; i < kDeliveredMessageCount; i++) {
+    const Endpoint& endpoint = endpoints[static_cast<std::size_t>(i * kEndpointStride) % endpoints.size()];
+    cpu_time += bench.run_round({bench.next_arrival(endpoint.destination)});
     cpu_time += bench.run_round(bench.end_calls(Outcome::succeeded));
   }
-  return cpu_time / kDeliveredMessages;
+  return cpu_time / kDeliveredMessageCount;
 }
 
 void measure_listed_endpoints(SlopeRecorder& recorder, std::int64_t count) {
@@ -235,20 +242,21 @@
     recorder.add(SizeKind::listed_endpoints, count, {name, value});
   };
   add("whole list, first, us",
-      median_of(settings.repetitions, [&] { return DispatcherBench().set_list(endpoints); }));
+      median_of(settings.repetitions, [&] { return DispatcherBench().set_endpoint_list(endpoints); }));
   DispatcherBench bench;
   const std::int64_t bytes_before = allocated_memory().bytes;
-  bench.set_list(endpoints);
+  bench.set_endpoint_list(endpoints);
   add("memory, bytes", static_cast<double>(allocated_memory().bytes - bytes_before));
-  add("whole list, again, us", median_of(settings.repetitions, [&] { return bench.set_list(endpoints); }));
-  std::size_t changes = 0;
+  add("whole list, again, us",
+      median_of(settings.repetitions, [&] { return bench.set_endpoint_list(endpoints); }));
+  std::size_t change_count = 0;
   add("one change, us", median_of(rounds, [&] {
-        const Endpoint& changed = endpoints[changes * kStride % endpoints.size()];
-        changes++;
+        const Endpoint& changed = endpoints[change_count * kEndpointStride % endpoints.size()];
+        change_count++;
         return bench.run_round({dispatch::event::EndpointListUpdate{{changed}}});
       }));
   add("idle round, us", median_of(rounds, [&] { return bench.run_idle_round(); }));
-  add("message delivered, us", median_of(rounds, [&] { return delivery_time(bench, endpoints); }));
+  add("message delivered, us", median_of(rounds, [&] { return mean_delivery_time(bench, endpoints); }));
   add("learnt, written, us", median_of(settings.repetitions, [&] {
         return cpu_time_of([&] { static_cast<void>(bench.learned_state()); });
       }));
@@ -256,11 +264,11 @@
 
 void measure_learned_destinations(SlopeRecorder& recorder, std::int64_t destinations) {
   DispatcherBench bench;
-  bench.set_list(make_endpoints(destinations, 1));
+  bench.set_endpoint_list(make_endpoints(destinations, 1));
   const dispatch::event::LearnedStateRestored restored{bench.learned_state()};
-  const double round =
+  const double round_time =
       median_of(recorder.settings().repetitions, [&] { return bench.run_round({restored}); });
-  recorder.add(SizeKind::learned_destinations, destinations, {"learnt, taken back, us", round});
+  recorder.add(SizeKind::learned_destinations, destinations, {"learnt, taken back, us", round_time});
 }
 
 }  // namespace
--- a/scale/slopes.cpp
+++ b/scale/slopes.cpp
@@ -10,15 +10,17 @@
 namespace scale_tool {
 namespace {
 
-std::string join(const std::vector<double>& sizes) {
+// The sizes, separated by spaces; "-" if there are none.
+std::string join_sizes(const std::vector<double>& sizes) {
   if (sizes.empty()) return "-";
   std::ostringstream out;
   for (const double size : sizes) out << (out.tellp() > 0 ? " " : "") << static_cast<std::int64_t>(size);
   return out.str();
 }
 
-// Where a cost does not grow in a line, this tells more of larger sizes than the line does.
-double extrapolate_power(const Point& last, double exponent, double size) {
+// Extrapolates the cost at a larger size by a power law through the last point. Predicts better than the
+// fitted line if the cost does not grow linearly.
+double extrapolate_power_law(const Point& last, double exponent, double size) {
   return last.cost * std::pow(size / last.size, exponent);
 }
 
@@ -65,10 +67,11 @@
   if (series != nullptr) series->max_value = max_value;
 }
 
-Row SlopeRecorder::line_row(const Series& series) const {
+Row SlopeRecorder::fitted_line_row(const Series& series) const {
   const LinearFit fit = fit_least_squares(series.points);
-  const double target = settings_.target(series.kind);
-  const double power = target > 0 ? extrapolate_power(series.points.back(), fit.exponent, target) : 0;
+  const double target_size = settings_.target_size(series.kind);
+  const double power_law_cost =
+      target_size > 0 ? extrapolate_power_law(series.points.back(), fit.exponent, target_size) : 0;
   return {{"part", part_},
           {"cost", series.cost_name},
           {"of", to_string(series.kind)},
@@ -76,13 +79,14 @@
           {"intercept", fit.intercept},
           {"residual", fit.relative_residual},
           {"exponent", fit.exponent},
-          {"asked", static_cast<std::int64_t>(target)},
-          {"line_there", target > 0 ? fit.cost_at(target) : 0.0},
-          {"power_there", power},
-          {"off_line_at", join(fit.outlier_sizes)}};
+          {"asked", static_cast<std::int64_t>(target_size)},
+          {"line_there", target_size > 0 ? fit.cost_at(target_size) : 0.0},
+          {"power_there", power_law_cost},
+          {"off_line_at", join_sizes(fit.outlier_sizes)}};
 }
 
-Row SlopeRecorder::reached_row(const Series& series) const {
+// The size is 0 if the fitted line does not rise.
+Row SlopeRecorder::size_at_limit_row(const Series& series) const {
   const LinearFit fit = fit_least_squares(series.points);
   const double size = fit.slope > 0 ? (series.max_value - fit.intercept) / fit.slope : 0;
   return {{"part", part_},
@@ -92,11 +96,11 @@
           {"at", size}};
 }
 
-void SlopeRecorder::report_lines() {
+void SlopeRecorder::report_fitted_lines() {
   std::erase_if(series_, [](const Series& series) { return series.points.size() < 2; });
-  for (const Series& series : series_) report_.add(line_row(series));
+  for (const Series& series : series_) report_.add(fitted_line_row(series));
   for (const Series& series : series_)
-    if (series.max_value > 0) report_.add(reached_row(series));
+    if (series.max_value > 0) report_.add(size_at_limit_row(series));
   series_.clear();
   show_progress("");
 }
--- a/scale/slopes_settings.cpp
+++ b/scale/slopes_settings.cpp
@@ -17,12 +17,12 @@
 constexpr double kMaxTargetSeconds = 1e6;
 constexpr std::int64_t kMaxListBytes = std::int64_t{1} << 40;
 
-// Fewer than two sizes make no line.
+// Reads sizes, sorts them and removes duplicates. A line can't be fitted through fewer than two sizes.
 void read_sizes(Experiment& experiment, const std::string& key, Sizes& sizes) {
   experiment.read(key, sizes, 1, kMaxSize);
   std::sort(sizes.begin(), sizes.end());
   sizes.erase(std::unique(sizes.begin(), sizes.end()), sizes.end());
-  if (sizes.size() < 2) experiment.reject(key, "two different sizes are needed");
+  if (sizes.size() < 2) experiment.reject(key, "two different sizes are needed to fit a line");
 }
 
 }  // namespace
@@ -46,14 +46,14 @@
     case SizeKind::messages_per_second:
       return "messages a second";
   }
-  throw std::logic_error("to_string: not a SizeKind");
+  throw std::logic_error("to_string: unknown SizeKind " + std::to_string(static_cast<int>(kind)));
 }
 
 void SlopesSettings::read(Experiment& experiment) {
   experiment.read("repetitions", repetitions, 1, kMaxRepetitions);
   experiment.read("endpoints_per_destination", endpoints_per_destination, 1, kMaxEndpointsPerDestination);
   experiment.read("body_bytes", body_bytes, 0, kMaxBodyBytes);
-  experiment.read("down", destinations_of_messages, 1, kMaxDestinations);
+  experiment.read("down", message_destination_count, 1, kMaxDestinations);
   read_sizes(experiment, "endpoints", listed_endpoints);
   read_sizes(experiment, "messages", held_messages);
   read_sizes(experiment, "destinations_down", unavailable_destinations);
@@ -71,7 +71,7 @@
   experiment.read("list_limit_bytes", max_list_bytes, 1, kMaxListBytes);
 }
 
-double SlopesSettings::target(SizeKind kind) const {
+double SlopesSettings::target_size(SizeKind kind) const {
   switch (kind) {
     case SizeKind::listed_endpoints:
     case SizeKind::watched_endpoints:
@@ -87,7 +87,8 @@
     case SizeKind::records_per_commit:
       return 0;
   }
-  throw std::logic_error("SlopesSettings::target: not a SizeKind");
+  throw std::logic_error("SlopesSettings::target_size: unknown SizeKind " +
+                         std::to_string(static_cast<int>(kind)));
 }
 
 }  // namespace scale_tool
