--- a/scale/fleet.cpp
+++ b/scale/fleet.cpp
@@ -94,7 +94,7 @@
   Time network_delay(RelayIndex relay, EndpointIndex endpoint) const;
   Time end_of_arrivals() const { return to_microseconds(settings_.duration); }
 
-  const std::int64_t initial_allocated_bytes_ = allocated().bytes;
+  const std::int64_t initial_allocated_bytes_ = allocated_memory().bytes;
   const FleetSettings settings_;
   const std::function<void(double)>& progress_;
   RandomSource random_;
@@ -189,7 +189,7 @@
   }
   FleetResult result = statistics_.result(destinations_, has_restarted_relays_);
   result.endpoints = static_cast<std::int64_t>(endpoints_.size());
-  result.bytes_per_relay = (allocated().bytes - initial_allocated_bytes_) / settings_.relay_count;
+  result.bytes_per_relay = (allocated_memory().bytes - initial_allocated_bytes_) / settings_.relay_count;
   result.cpu_seconds_per_relay = (thread_cpu_time() - cpu_time_before) / kMicrosecondsPerSecond /
                                  settings_.relay_count / to_seconds(now_);
   return result;
--- a/scale/fleet_command.cpp
+++ b/scale/fleet_command.cpp
@@ -101,7 +101,7 @@
   for (int i = 1; i < jobs; i++) threads.emplace_back([this] { run_tasks(); });
   run_tasks();
   for (auto& thread : threads) thread.join();
-  progress("");
+  show_progress("");
   if (error_) std::rethrow_exception(error_);
 }
 
@@ -133,7 +133,7 @@
       std::to_string(settings.relay_count) + " relays, seed " + std::to_string(settings.seed) + ": ";
   return run_fleet(settings, [&](double second) {
     const std::lock_guard lock(mutex_);
-    progress(progress_prefix + std::to_string(static_cast<int>(second)) + " s");
+    show_progress(progress_prefix + std::to_string(static_cast<int>(second)) + " s");
   });
 }
 
